--- a/app/src/entry/core.rs
+++ b/app/src/entry/core.rs
@@ -7,8 +7,8 @@
 use pimentotide_caller::{Call, EntryAdvice};
 use pimentotide_instance::{Clock, Submitter, View};
 use pimentotide_model::{
-    Announcement, ErrorKind, Failure, Fingerprint, InstanceName, LoadReport, ModelName,
-    RequestMeta, RetryPolicy, ServiceName, Standing, Time, UpstreamName, ZoneName,
+    AdminState, Announcement, ErrorKind, Failure, Fingerprint, InstanceName, LoadReport, ModelName,
+    RequestMeta, RetryPolicy, ServiceName, Time, UpstreamName, ZoneName,
 };
 use pimentotide_observe::Metrics;
 use pimentotide_outcome::LedgerEpoch;
@@ -227,7 +227,7 @@
                 .zones
                 .get(zone)
                 .copied()
-                .unwrap_or(Standing::In)
+                .unwrap_or(AdminState::In)
         };
         let advice = advise(Some(&near), &entries, standing, now, &mut rand::rng());
         let addresses = advice.addresses.iter().filter_map(|address| {
--- a/app/src/operator/request.rs
+++ b/app/src/operator/request.rs
@@ -4,7 +4,7 @@
 
 use pimentotide_control::Scope;
 use pimentotide_document::MAX_DOCUMENT_BYTES;
-use pimentotide_model::{GroupName, ProfileName, Service, ServiceKind, Standing};
+use pimentotide_model::{AdminState, GroupName, ProfileName, Service, ServiceKind};
 use pimentotide_operator::MemberChange;
 use pimentotide_operator::command::Request;
 use pimentotide_operator::message::ActionRequest;
@@ -115,10 +115,10 @@
     Ok(Scope::Group(name))
 }
 
-fn standing(verb: &str) -> Result<Standing, UsageError> {
+fn standing(verb: &str) -> Result<AdminState, UsageError> {
     match verb {
-        "in" => Ok(Standing::In),
-        "out" => Ok(Standing::Out),
+        "in" => Ok(AdminState::In),
+        "out" => Ok(AdminState::Out),
         other => Err(unknown(other)),
     }
 }
--- a/app/tests/it/settings.rs
+++ b/app/tests/it/settings.rs
@@ -146,7 +146,7 @@
     let page = Path::new(env!("CARGO_MANIFEST_DIR")).join("../docs/OPERATIONS.md");
     let page = fs::read_to_string(page).expect("the page exists");
     for kind in pimentotide_model::ErrorKind::ALL {
-        let answer = kind.answer();
+        let answer = kind.response();
         let row = format!("| `{kind}` | {} | {} |", answer.status, answer.ran);
         assert!(page.contains(&row), "expected the row {row}");
     }
--- a/decision/control/src/currency/watch.rs
+++ b/decision/control/src/currency/watch.rs
@@ -1,7 +1,7 @@
 //! Holder side: the configuration in force and the lease on its being current.
 
 use pimentotide_model::{
-    Declarations, ErrorKind, LapsePolicy, Revision, ServiceName, Time, UpstreamName, ZoneName,
+    Declarations, ErrorKind, LeaseExpiryPolicy, Revision, ServiceName, Time, UpstreamName, ZoneName,
 };
 
 use super::LEASE;
@@ -159,7 +159,7 @@
         return Err(ErrorKind::OutOfService);
     }
     let policy = declarations.profile_of(service).map(|p| p.lapse);
-    if current || policy == Some(LapsePolicy::Serve) {
+    if current || policy == Some(LeaseExpiryPolicy::Serve) {
         return Ok(());
     }
     Err(ErrorKind::NotCurrent)
--- a/decision/control/src/declare/action.rs
+++ b/decision/control/src/declare/action.rs
@@ -3,7 +3,7 @@
 use std::fmt;
 
 use pimentotide_model::{
-    Declarations, Fingerprint, GroupName, OrderId, Revision, Service, ServiceName, Standing,
+    AdminState, Declarations, Fingerprint, GroupName, OrderId, Revision, Service, ServiceName,
     UpstreamName, ZoneName,
 };
 use serde::{Deserialize, Serialize};
@@ -38,14 +38,14 @@
         /// Zone.
         zone: ZoneName,
         /// Whether it takes new work.
-        standing: Standing,
+        standing: AdminState,
     },
     /// Takes an upstream in or out of service, or says whether it checks fencing numbers.
     Upstream {
         /// Upstream.
         upstream: UpstreamName,
         /// Whether it takes new work; unchanged if none.
-        standing: Option<Standing>,
+        standing: Option<AdminState>,
         /// Whether its engine refuses old fencing numbers; unchanged if none.
         fenced: Option<bool>,
     },
--- a/decision/control/src/declare/text.rs
+++ b/decision/control/src/declare/text.rs
@@ -6,7 +6,7 @@
 
 use pimentotide_document::{Problem, Problems, Section, locate, read};
 use pimentotide_model::{
-    Declarations, LapsePolicy, Priority, Profile, ProfileName, QueuePolicy, RebalancePolicy,
+    Declarations, LeaseExpiryPolicy, Priority, Profile, ProfileName, QueuePolicy, RebalancePolicy,
     RetryPolicy, Service, ServiceKind, ServiceName, SlowStart, Spread, Workspace, WorkspaceName,
     ZonePolicy,
 };
@@ -111,8 +111,8 @@
 fn read_profile(section: &mut Section<'_>) -> Profile {
     let base = Profile::default();
     let lapses = [
-        ("refuse", LapsePolicy::Refuse),
-        ("serve", LapsePolicy::Serve),
+        ("refuse", LeaseExpiryPolicy::Refuse),
+        ("serve", LeaseExpiryPolicy::Serve),
     ];
     Profile {
         name: base.name,
--- a/decision/control/src/declare/text/layout.rs
+++ b/decision/control/src/declare/text/layout.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use pimentotide_model::{LapsePolicy, Profile, ServiceKind, Spread};
+use pimentotide_model::{LeaseExpiryPolicy, Profile, ServiceKind, Spread};
 use serde::Serialize;
 
 use crate::declare::document::Document;
@@ -47,7 +47,7 @@
     shares: BTreeMap<&'a str, u32>,
     slow_start: SlowStartText,
     rebalance: RebalanceText,
-    lapse: LapsePolicy,
+    lapse: LeaseExpiryPolicy,
 }
 
 #[derive(Serialize)]
--- a/decision/control/tests/it/common.rs
+++ b/decision/control/tests/it/common.rs
@@ -4,8 +4,8 @@
 
 use pimentotide_control::{Action, Command, Document, Machine, Order, Response, Scope, Verdict};
 use pimentotide_model::{
-    Declarations, LapsePolicy, OrderId, Priority, Profile, ProfileName, Revision, Service,
-    ServiceKind, ServiceName, Spread, Standing, Time, Workspace, WorkspaceName,
+    AdminState, Declarations, LeaseExpiryPolicy, OrderId, Priority, Profile, ProfileName, Revision,
+    Service, ServiceKind, ServiceName, Spread, Time, Workspace, WorkspaceName,
 };
 use proptest::collection::{btree_set, vec};
 use proptest::option;
@@ -20,7 +20,7 @@
     }
 }
 
-pub(crate) fn zone(name: &str, standing: Standing) -> Action {
+pub(crate) fn zone(name: &str, standing: AdminState) -> Action {
     Action::Zone {
         zone: name.into(),
         standing,
@@ -120,9 +120,9 @@
     profile.idempotent = flags[0];
     profile.zones.spread = if flags[1] { Spread::Near } else { Spread::Even };
     profile.lapse = if flags[2] {
-        LapsePolicy::Refuse
+        LeaseExpiryPolicy::Refuse
     } else {
-        LapsePolicy::Serve
+        LeaseExpiryPolicy::Serve
     };
     profile
 }
@@ -176,7 +176,7 @@
 
 /// Actions, most of them acceptable.
 pub(crate) fn action() -> impl Strategy<Value = Action> {
-    let standing = prop_oneof![Just(Standing::In), Just(Standing::Out)];
+    let standing = prop_oneof![Just(AdminState::In), Just(AdminState::Out)];
     let upstream = (option::of(standing.clone()), option::of(any::<bool>()));
     prop_oneof![
         4 => ("[a-c]", standing).prop_map(|(name, standing)| zone(&name, standing)),
--- a/decision/control/tests/it/order.rs
+++ b/decision/control/tests/it/order.rs
@@ -5,7 +5,7 @@
 
 use pimentotide_control::machine::{MAX_ANSWERS, MAX_RECORDS, RESEND_WINDOW};
 use pimentotide_control::{Action, Command, Document, Machine, Response, Scope, Verdict};
-use pimentotide_model::{Revision, Standing, Time};
+use pimentotide_model::{AdminState, Revision, Time};
 use proptest::prelude::*;
 
 use crate::common::{accepted, action, apply, declare, drafting, order, zone};
@@ -21,8 +21,8 @@
 #[test]
 fn racing_orders_have_one_winner_that_the_other_is_told() {
     let mut machine = Machine::default();
-    let first = order("a", Some(0), zone("accra-a", Standing::Out));
-    let second = order("b", Some(0), zone("accra-b", Standing::Out));
+    let first = order("a", Some(0), zone("accra-a", AdminState::Out));
+    let second = order("b", Some(0), zone("accra-b", AdminState::Out));
     assert_eq!(declare(&mut machine, START, &first), accepted(1));
     insta::assert_debug_snapshot!(declare(&mut machine, START, &second), @r#"
     Conflict {
@@ -55,8 +55,8 @@
 #[test]
 fn orders_against_any_revision_do_not_conflict() {
     let mut machine = Machine::default();
-    let first = order("a", None, zone("accra-a", Standing::Out));
-    let second = order("b", None, zone("accra-b", Standing::Out));
+    let first = order("a", None, zone("accra-a", AdminState::Out));
+    let second = order("b", None, zone("accra-b", AdminState::Out));
     assert_eq!(declare(&mut machine, START, &first), accepted(1));
     assert_eq!(declare(&mut machine, START, &second), accepted(2));
 }
@@ -64,7 +64,7 @@
 #[test]
 fn base_that_does_not_exist_yet_is_a_conflict() {
     let mut machine = Machine::default();
-    let early = order("a", Some(u64::MAX), zone("accra-a", Standing::Out));
+    let early = order("a", Some(u64::MAX), zone("accra-a", AdminState::Out));
     let verdict = declare(&mut machine, START, &early);
     assert!(matches!(verdict, Verdict::Conflict { winner: None, .. }));
 }
@@ -72,22 +72,22 @@
 #[test]
 fn resent_order_gets_its_first_answer_also_after_restore() {
     let mut machine = Machine::default();
-    let out = order("out", None, zone("accra-a", Standing::Out));
-    let back = order("in", None, zone("accra-a", Standing::In));
+    let out = order("out", None, zone("accra-a", AdminState::Out));
+    let back = order("in", None, zone("accra-a", AdminState::In));
     assert_eq!(declare(&mut machine, START, &out), accepted(1));
     assert_eq!(declare(&mut machine, START, &back), accepted(2));
     let mut machine = restored(&machine);
     let late = START + RESEND_WINDOW - Duration::from_micros(1);
     assert_eq!(declare(&mut machine, late, &out), accepted(1));
     assert_eq!(machine.revision(), Revision(2));
-    assert_eq!(machine.declarations().zones["accra-a"], Standing::In);
+    assert_eq!(machine.declarations().zones["accra-a"], AdminState::In);
 }
 
 #[test]
 fn resent_conflict_stays_a_conflict() {
     let mut machine = Machine::default();
-    let first = order("a", Some(0), zone("accra-a", Standing::Out));
-    let second = order("b", Some(0), zone("accra-a", Standing::In));
+    let first = order("a", Some(0), zone("accra-a", AdminState::Out));
+    let second = order("b", Some(0), zone("accra-a", AdminState::In));
     declare(&mut machine, START, &first);
     let verdict = declare(&mut machine, START, &second);
     declare(
@@ -101,8 +101,8 @@
 #[test]
 fn order_past_the_window_is_a_new_order() {
     let mut machine = Machine::default();
-    let bound = order("bound", Some(0), zone("accra-a", Standing::Out));
-    let free = order("free", None, zone("accra-a", Standing::Out));
+    let bound = order("bound", Some(0), zone("accra-a", AdminState::Out));
+    let free = order("free", None, zone("accra-a", AdminState::Out));
     assert_eq!(declare(&mut machine, START, &bound), accepted(1));
     assert_eq!(declare(&mut machine, START, &free), accepted(2));
     let late = START + RESEND_WINDOW;
@@ -116,7 +116,7 @@
 #[test]
 fn time_of_the_log_does_not_go_back() {
     let mut machine = Machine::default();
-    let out = order("out", None, zone("accra-a", Standing::Out));
+    let out = order("out", None, zone("accra-a", AdminState::Out));
     declare(&mut machine, START, &out);
     declare(
         &mut machine,
@@ -133,9 +133,9 @@
     declare(
         &mut machine,
         START,
-        &order("a", None, zone("accra-a", Standing::Out)),
+        &order("a", None, zone("accra-a", AdminState::Out)),
     );
-    let other = order("a", None, zone("accra-b", Standing::Out));
+    let other = order("a", None, zone("accra-b", AdminState::Out));
     let verdict = declare(&mut machine, START, &other);
     assert_eq!(verdict, Verdict::Mismatch { id: "a".into() });
     assert_eq!(machine.revision(), Revision(1));
@@ -184,16 +184,16 @@
         declare(
             &mut machine,
             START,
-            &order(&name, None, zone("a", Standing::Out)),
+            &order(&name, None, zone("a", AdminState::Out)),
         );
     }
     assert_eq!(machine.history().count(), MAX_RECORDS);
-    let newest = order(&format!("o{}", count - 1), None, zone("a", Standing::Out));
+    let newest = order(&format!("o{}", count - 1), None, zone("a", AdminState::Out));
     assert_eq!(
         declare(&mut machine, START, &newest),
         accepted(count as u64)
     );
-    let dropped = order("o0", Some(0), zone("a", Standing::Out));
+    let dropped = order("o0", Some(0), zone("a", AdminState::Out));
     assert!(matches!(
         declare(&mut machine, START, &dropped),
         Verdict::Conflict { .. }
--- a/decision/control/tests/it/watch.rs
+++ b/decision/control/tests/it/watch.rs
@@ -8,7 +8,7 @@
 };
 use pimentotide_control::directory::Registry;
 use pimentotide_control::{Document, Machine};
-use pimentotide_model::{ErrorKind, Fence, LapsePolicy, Revision, Standing, Time};
+use pimentotide_model::{AdminState, ErrorKind, Fence, LeaseExpiryPolicy, Revision, Time};
 use proptest::prelude::*;
 
 use crate::common::{apply, declare, drafting, order, zone};
@@ -44,9 +44,9 @@
     for _ in 0..count {
         let next = machine.revision().0;
         let standing = if next.is_multiple_of(2) {
-            Standing::Out
+            AdminState::Out
         } else {
-            Standing::In
+            AdminState::In
         };
         declare(
             machine,
@@ -56,7 +56,7 @@
     }
 }
 
-fn with_policy(lapse: LapsePolicy) -> Machine {
+fn with_policy(lapse: LeaseExpiryPolicy) -> Machine {
     let mut machine = Machine::default();
     let mut document: Document = drafting();
     document.profiles.get_mut("drafting").unwrap().lapse = lapse;
@@ -105,7 +105,7 @@
     change(&mut machine, 2);
     let mut answer = ask(&machine, &watch, Time::ZERO).unwrap();
     if let Update::Changes(changes) = &mut answer.update {
-        changes[0].action = zone("b", Standing::Out);
+        changes[0].action = zone("b", AdminState::Out);
     }
     assert_eq!(watch.receive(Time::ZERO, &answer), Taken::Repair);
     assert_eq!(watch.revision(), Revision(0));
@@ -149,8 +149,8 @@
 fn lapsed_lease_refuses_or_serves_as_the_profile_says() {
     let service = "draft".into();
     for (policy, expected) in [
-        (LapsePolicy::Refuse, Err(ErrorKind::NotCurrent)),
-        (LapsePolicy::Serve, Ok(())),
+        (LeaseExpiryPolicy::Refuse, Err(ErrorKind::NotCurrent)),
+        (LeaseExpiryPolicy::Serve, Ok(())),
     ] {
         let mut machine = with_policy(policy);
         let mut watch = Watch::default();
@@ -163,7 +163,7 @@
         declare(
             &mut machine,
             Time::ZERO,
-            &order("b", None, zone("a", Standing::Out)),
+            &order("b", None, zone("a", AdminState::Out)),
         );
         renew(&machine, &mut watch, Time::ZERO);
         assert_eq!(admit(&watch, Time::ZERO), Err(ErrorKind::OutOfService));
--- a/decision/model/src/declaration.rs
+++ b/decision/model/src/declaration.rs
@@ -33,7 +33,7 @@
 /// Whether operators have a zone or an upstream in service.
 #[derive(Clone, Copy, Debug, Default, Display, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Standing {
+pub enum AdminState {
     /// Takes new work.
     #[default]
     #[display("in")]
@@ -72,7 +72,7 @@
 /// What an agent does with new work once its lease on being current has run out.
 #[derive(Clone, Copy, Debug, Default, Display, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum LapsePolicy {
+pub enum LeaseExpiryPolicy {
     /// Refuses new work, so that a zone taken out unheard stays out.
     #[default]
     #[display("refuse")]
@@ -165,7 +165,7 @@
     /// Cost limits of rebalancing.
     pub rebalance: RebalancePolicy,
     /// What agents do when cut off from control.
-    pub lapse: LapsePolicy,
+    pub lapse: LeaseExpiryPolicy,
 }
 
 /// A service that callers ask for.
@@ -192,7 +192,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UpstreamPolicy {
     /// Whether it takes new work.
-    pub standing: Standing,
+    pub standing: AdminState,
     /// Whether its engine refuses orders with an old fencing number.
     pub fenced: bool,
 }
@@ -209,7 +209,7 @@
     /// Workspaces by name; any workspace is welcome if empty.
     pub workspaces: BTreeMap<WorkspaceName, Workspace>,
     /// Zones by name; a zone that is not named is in.
-    pub zones: BTreeMap<ZoneName, Standing>,
+    pub zones: BTreeMap<ZoneName, AdminState>,
     /// Upstreams by name; an upstream that is not named is in.
     pub upstreams: BTreeMap<UpstreamName, UpstreamPolicy>,
     /// Groups whose rebalancing is paused.
@@ -221,11 +221,11 @@
 impl Declarations {
     /// Whether operators let `upstream` in `zone` take new work.
     pub fn admits(&self, zone: &ZoneName, upstream: &UpstreamName) -> bool {
-        let zone_in = self.zones.get(zone).is_none_or(|s| *s == Standing::In);
+        let zone_in = self.zones.get(zone).is_none_or(|s| *s == AdminState::In);
         let upstream_in = self
             .upstreams
             .get(upstream)
-            .is_none_or(|u| u.standing == Standing::In);
+            .is_none_or(|u| u.standing == AdminState::In);
         zone_in && upstream_in
     }
 
@@ -278,7 +278,7 @@
                 staging: 4 << 30,
                 horizon: Duration::from_secs(600),
             },
-            lapse: LapsePolicy::Refuse,
+            lapse: LeaseExpiryPolicy::Refuse,
         }
     }
 }
--- a/decision/model/src/error.rs
+++ b/decision/model/src/error.rs
@@ -22,7 +22,7 @@
 
 /// What a kind of error looks like to whoever asked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Answer {
+pub struct ErrorResponse {
     /// HTTP status.
     pub status: u16,
     /// Short title.
@@ -49,9 +49,9 @@
             pub const ALL: &'static [Self] = &[$(Self::$kind,)*];
 
             /// Looks up the answer to this kind.
-            pub const fn answer(self) -> Answer {
+            pub const fn response(self) -> ErrorResponse {
                 match self {$(
-                    Self::$kind => Answer {
+                    Self::$kind => ErrorResponse {
                         status: $status,
                         title: $title,
                         ran: Ran::$ran,
@@ -144,12 +144,12 @@
     where
         D: Into<String>,
     {
-        let answer = kind.answer();
+        let response = kind.response();
         Self {
             kind,
-            ran: answer.ran,
+            ran: response.ran,
             detail: detail.into(),
-            retry: answer.retry.map(|s| Duration::from_secs(u64::from(s))),
+            retry: response.retry.map(|s| Duration::from_secs(u64::from(s))),
         }
     }
 
--- a/decision/model/src/id.rs
+++ b/decision/model/src/id.rs
@@ -69,7 +69,7 @@
     /// Identifier that an operator gives an order, the same when it is resent.
     OrderId;
     /// Key by which a caller marks a retry of the same request.
-    IdemKey;
+    IdempotencyKey;
 }
 
 /// Identifier of one request, unique in the deployment.
--- a/decision/model/src/lib.rs
+++ b/decision/model/src/lib.rs
@@ -14,12 +14,12 @@
 mod time;
 
 pub use declaration::{
-    Declarations, LapsePolicy, Priority, Profile, QueuePolicy, RebalancePolicy, RetryPolicy,
-    Service, ServiceKind, SlowStart, Spread, Standing, UpstreamPolicy, Workspace, ZonePolicy,
+    AdminState, Declarations, LeaseExpiryPolicy, Priority, Profile, QueuePolicy, RebalancePolicy,
+    RetryPolicy, Service, ServiceKind, SlowStart, Spread, UpstreamPolicy, Workspace, ZonePolicy,
 };
-pub use error::{Answer, ErrorKind, Failure, Ran};
+pub use error::{ErrorKind, ErrorResponse, Failure, Ran};
 pub use id::{
-    ClaimId, Fence, Fingerprint, IdemKey, Incarnation, OrderId, RequestId, Revision, Term,
+    ClaimId, Fence, Fingerprint, IdempotencyKey, Incarnation, OrderId, RequestId, Revision, Term,
 };
 pub use name::{
     AdapterName, GroupName, InstanceName, ModelName, ProfileName, RegionName, ServiceName,
--- a/decision/model/src/request.rs
+++ b/decision/model/src/request.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::{
-    AdapterName, Fingerprint, IdemKey, ModelName, Priority, RequestId, ServiceName, Time,
+    AdapterName, Fingerprint, IdempotencyKey, ModelName, Priority, RequestId, ServiceName, Time,
     VersionName, WorkspaceName,
 };
 
@@ -32,7 +32,7 @@
     /// Whether it may run more than once.
     pub idempotent: bool,
     /// Key by which the caller marks a retry.
-    pub key: Option<IdemKey>,
+    pub key: Option<IdempotencyKey>,
     /// Digest of the content.
     pub fingerprint: Fingerprint,
     /// Digests of the prompt's blocks, each covering all before it.
--- a/decision/outcome/src/attempt/message.rs
+++ b/decision/outcome/src/attempt/message.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use pimentotide_model::{
-    Failure, Fingerprint, IdemKey, RequestId, ServiceName, Time, WorkspaceName,
+    Failure, Fingerprint, IdempotencyKey, RequestId, ServiceName, Time, WorkspaceName,
 };
 
 use crate::{ClaimRef, Command, Finding, NotRun, Outcome, Place, Reply};
@@ -19,7 +19,7 @@
     /// Service that is asked.
     pub service: ServiceName,
     /// Key of the request.
-    pub key: IdemKey,
+    pub key: IdempotencyKey,
     /// Whether the entry made the key up.
     pub generated: bool,
     /// Digest of the content.
--- a/decision/outcome/src/claim.rs
+++ b/decision/outcome/src/claim.rs
@@ -4,7 +4,8 @@
 
 use derive_more::{Display, From, Into};
 use pimentotide_model::{
-    ClaimId, Fingerprint, IdemKey, Incarnation, RequestId, ServiceName, UpstreamName, WorkspaceName,
+    ClaimId, Fingerprint, IdempotencyKey, Incarnation, RequestId, ServiceName, UpstreamName,
+    WorkspaceName,
 };
 use serde::{Deserialize, Serialize};
 
@@ -68,7 +69,7 @@
     /// Service that is asked.
     pub service: ServiceName,
     /// Key of the request.
-    pub key: IdemKey,
+    pub key: IdempotencyKey,
     /// Whether the entry made the key up.
     pub generated: bool,
     /// Digest of the content.
@@ -85,7 +86,7 @@
     /// Workspace of the key.
     pub workspace: WorkspaceName,
     /// Key of the request.
-    pub key: IdemKey,
+    pub key: IdempotencyKey,
     /// Claim.
     pub claim: ClaimId,
 }
@@ -160,6 +161,6 @@
 }
 
 /// Makes up the key of a request that came without one.
-pub fn generated_key(request: RequestId) -> IdemKey {
-    IdemKey::from(format!("generated-{request}"))
+pub fn generated_key(request: RequestId) -> IdempotencyKey {
+    IdempotencyKey::from(format!("generated-{request}"))
 }
--- a/decision/outcome/src/journal.rs
+++ b/decision/outcome/src/journal.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use pimentotide_model::{ClaimId, Fingerprint, IdemKey, Time, UpstreamName, WorkspaceName};
+use pimentotide_model::{ClaimId, Fingerprint, IdempotencyKey, Time, UpstreamName, WorkspaceName};
 use serde::{Deserialize, Serialize};
 
 use crate::window::{Held, Phase, Record, Window};
@@ -33,7 +33,7 @@
         /// Workspace of the key.
         workspace: WorkspaceName,
         /// Key of the request.
-        key: IdemKey,
+        key: IdempotencyKey,
         /// Digest of the content.
         fingerprint: Fingerprint,
     },
@@ -261,7 +261,7 @@
         }
     }
 
-    fn look(&self, workspace: &WorkspaceName, key: &IdemKey, content: Fingerprint) -> Reply {
+    fn look(&self, workspace: &WorkspaceName, key: &IdempotencyKey, content: Fingerprint) -> Reply {
         let Some(window) = self.windows.get(workspace) else {
             return Reply::Open;
         };
--- a/decision/outcome/src/window.rs
+++ b/decision/outcome/src/window.rs
@@ -11,7 +11,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use pimentotide_model::{ClaimId, Fingerprint, IdemKey, Time};
+use pimentotide_model::{ClaimId, Fingerprint, IdempotencyKey, Time};
 use serde::{Deserialize, Serialize};
 
 use crate::{Outcome, Place, Ticket};
@@ -112,9 +112,9 @@
 /// Keys of one workspace.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub(crate) struct Window {
-    records: BTreeMap<IdemKey, Record>,
-    running: BTreeMap<ClaimId, IdemKey>,
-    closed: VecDeque<(Time, IdemKey)>,
+    records: BTreeMap<IdempotencyKey, Record>,
+    running: BTreeMap<ClaimId, IdempotencyKey>,
+    closed: VecDeque<(Time, IdempotencyKey)>,
     bytes: u64,
     tombstones: BTreeMap<Fingerprint, Tombstone>,
     ages: VecDeque<(Time, Fingerprint)>,
@@ -130,7 +130,7 @@
         self.records.len() + self.tombstones.len()
     }
 
-    pub(crate) fn get(&self, key: &IdemKey) -> Held<'_> {
+    pub(crate) fn get(&self, key: &IdempotencyKey) -> Held<'_> {
         if let Some(record) = self.records.get(key) {
             return Held::Record(record);
         }
@@ -159,25 +159,25 @@
         true
     }
 
-    pub(crate) fn open(&mut self, key: IdemKey, record: Record) {
+    pub(crate) fn open(&mut self, key: IdempotencyKey, record: Record) {
         self.running.insert(record.claim, key.clone());
         self.records.insert(key, record);
     }
 
     /// Forgets a running claim that did not run.
-    pub(crate) fn release(&mut self, key: &IdemKey) {
+    pub(crate) fn release(&mut self, key: &IdempotencyKey) {
         if let Some(record) = self.records.remove(key) {
             self.running.remove(&record.claim);
         }
     }
 
     /// Ends a running claim, or puts an answer in place of an unknown outcome.
-    pub(crate) fn close(&mut self, key: &IdemKey, phase: Phase, limits: &Limits, at: Time) {
+    pub(crate) fn close(&mut self, key: &IdempotencyKey, phase: Phase, limits: &Limits, at: Time) {
         self.end(key, phase, at);
         self.prune(limits, at);
     }
 
-    fn end(&mut self, key: &IdemKey, phase: Phase, at: Time) {
+    fn end(&mut self, key: &IdempotencyKey, phase: Phase, at: Time) {
         let Some(record) = self.records.get_mut(key) else {
             return;
         };
@@ -212,7 +212,7 @@
     }
 
     fn give_up(&mut self, limits: &Limits, at: Time) {
-        let overdue: Vec<IdemKey> = self
+        let overdue: Vec<IdempotencyKey> = self
             .running
             .values()
             .filter(|key| self.records[*key].until + limits.grace <= at)
@@ -229,7 +229,7 @@
         }
     }
 
-    fn bury(&mut self, key: &IdemKey, closed: Time) {
+    fn bury(&mut self, key: &IdempotencyKey, closed: Time) {
         let Some(record) = self.records.remove(key) else {
             return;
         };
@@ -259,7 +259,7 @@
     }
 }
 
-fn digest_of(key: &IdemKey) -> Fingerprint {
+fn digest_of(key: &IdempotencyKey) -> Fingerprint {
     Fingerprint::of([key.as_bytes()])
 }
 
--- a/decision/outcome/tests/it/journal.rs
+++ b/decision/outcome/tests/it/journal.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use pimentotide_model::{
-    ClaimId, Fingerprint, IdemKey, Incarnation, RequestId, ServiceName, Time, UpstreamName,
+    ClaimId, Fingerprint, IdempotencyKey, Incarnation, RequestId, ServiceName, Time, UpstreamName,
     WorkspaceName,
 };
 use pimentotide_outcome::{
@@ -41,7 +41,7 @@
         },
         workspace: WorkspaceName::from(workspace),
         service: ServiceName::from("lodging"),
-        key: IdemKey::from(key),
+        key: IdempotencyKey::from(key),
         generated: false,
         fingerprint: Fingerprint::of([content.as_bytes()]),
         place: Place {
@@ -56,7 +56,7 @@
 fn held(workspace: &str, key: &str, claim: u64) -> ClaimRef {
     ClaimRef {
         workspace: WorkspaceName::from(workspace),
-        key: IdemKey::from(key),
+        key: IdempotencyKey::from(key),
         claim: ClaimId(claim),
     }
 }
--- a/decision/outcome/tests/it/world.rs
+++ b/decision/outcome/tests/it/world.rs
@@ -9,8 +9,8 @@
 
 use bytes::Bytes;
 use pimentotide_model::{
-    ClaimId, ErrorKind, Failure, Fingerprint, IdemKey, Incarnation, Ran, RequestId, ServiceName,
-    Time, UpstreamName, WorkspaceName,
+    ClaimId, ErrorKind, Failure, Fingerprint, IdempotencyKey, Incarnation, Ran, RequestId,
+    ServiceName, Time, UpstreamName, WorkspaceName,
 };
 use pimentotide_outcome::{
     Action, AgentLedger, Answer, Attempt, Begin, Blob, Body, ClaimRef, Command, Conclusion, Event,
@@ -531,7 +531,7 @@
         request: RequestId(entry as u128 + 1),
         workspace: WorkspaceName::from("kumasi"),
         service: ServiceName::from("lodging"),
-        key: IdemKey::from("order-7"),
+        key: IdempotencyKey::from("order-7"),
         generated,
         fingerprint: Fingerprint::of([b"content".as_slice()]),
         attempts: 2,
--- a/decision/routing/src/advice.rs
+++ b/decision/routing/src/advice.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use pimentotide_model::{InstanceName, Standing, Time, ZoneName};
+use pimentotide_model::{AdminState, InstanceName, Time, ZoneName};
 use rand::{Rng, RngExt};
 use serde::{Deserialize, Serialize};
 
@@ -52,10 +52,10 @@
 ) -> Advice
 where
     R: Rng,
-    F: Fn(&ZoneName) -> Standing,
+    F: Fn(&ZoneName) -> AdminState,
 {
     let live = |e: &EntryState| !e.stopping && now.since(e.heard) < SILENCE;
-    let open = |e: &EntryState| live(e) && standing(&e.zone) == Standing::In;
+    let open = |e: &EntryState| live(e) && standing(&e.zone) == AdminState::In;
     let mut chosen: Vec<&EntryState> = entries.iter().filter(|e| open(e)).collect();
     if chosen.is_empty() {
         chosen = entries.iter().filter(|e| live(e)).collect();
--- a/decision/routing/src/gate/mod.rs
+++ b/decision/routing/src/gate/mod.rs
@@ -19,8 +19,8 @@
 
 use derive_more::Display;
 use pimentotide_model::{
-    ErrorKind, Incarnation, InstanceName, LapsePolicy, LoadReport, Priority, RequestId, Revision,
-    ServiceName, Standing, Time, WorkspaceName,
+    AdminState, ErrorKind, Incarnation, InstanceName, LeaseExpiryPolicy, LoadReport, Priority,
+    RequestId, Revision, ServiceName, Time, WorkspaceName,
 };
 use serde::{Deserialize, Serialize};
 
@@ -191,9 +191,9 @@
         self.warmup
             .resize(policy.slow_start.clone(), policy.limit(capacity));
         match (self.policy.standing, policy.standing) {
-            (Standing::Out, Standing::In) => self.warmup.restart(now),
-            (_, Standing::Out) => self.credits.clear(),
-            (Standing::In, Standing::In) => {}
+            (AdminState::Out, AdminState::In) => self.warmup.restart(now),
+            (_, AdminState::Out) => self.credits.clear(),
+            (AdminState::In, AdminState::In) => {}
         }
         self.policy = policy;
         self.settle(now)
@@ -382,14 +382,14 @@
         Err(ErrorKind::Overloaded)
     }
 
-    fn check_standing(&self, now: Time, lapse: LapsePolicy) -> Result<(), ErrorKind> {
+    fn check_standing(&self, now: Time, lapse: LeaseExpiryPolicy) -> Result<(), ErrorKind> {
         if self.leaving {
             return Err(ErrorKind::Stopping);
         }
-        if self.policy.standing == Standing::Out {
+        if self.policy.standing == AdminState::Out {
             return Err(ErrorKind::OutOfService);
         }
-        if now > self.current && lapse == LapsePolicy::Refuse {
+        if now > self.current && lapse == LeaseExpiryPolicy::Refuse {
             return Err(ErrorKind::NotCurrent);
         }
         Ok(())
@@ -449,7 +449,7 @@
         self.credits.expire(now);
         self.warmup.advance(now);
         self.credits.trim(self.spare_for_credits());
-        if self.leaving || self.policy.standing == Standing::Out {
+        if self.leaving || self.policy.standing == AdminState::Out {
             return Vec::new();
         }
         let mut grants = Vec::new();
@@ -466,7 +466,7 @@
     fn grant(&mut self, now: Time) -> Option<Grant> {
         let lapsed = now > self.current;
         let open = |service: &ServiceName| {
-            let refuse = lapsed && self.policy.lapse_of(service) == LapsePolicy::Refuse;
+            let refuse = lapsed && self.policy.lapse_of(service) == LeaseExpiryPolicy::Refuse;
             let busy = self.busy.get(service).copied().unwrap_or(0);
             let held = self.credits.held_for(service);
             let room = self
--- a/decision/routing/src/gate/policy.rs
+++ b/decision/routing/src/gate/policy.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 
 use pimentotide_model::{
-    Announcement, Declarations, LapsePolicy, Profile, Revision, Service, ServiceKind, ServiceName,
-    SlowStart, Standing, WorkspaceName,
+    AdminState, Announcement, Declarations, LeaseExpiryPolicy, Profile, Revision, Service,
+    ServiceKind, ServiceName, SlowStart, WorkspaceName,
 };
 
 /// Limits of one service on one upstream.
@@ -13,7 +13,7 @@
     /// Requests at once; the upstream's capacity if none.
     pub concurrency: Option<u32>,
     /// What happens once the currency lease has run out.
-    pub lapse: LapsePolicy,
+    pub lapse: LeaseExpiryPolicy,
     /// Weight of each workspace; 1 where not named.
     pub shares: BTreeMap<WorkspaceName, u32>,
 }
@@ -24,7 +24,7 @@
     /// Configuration that the rules come from.
     pub revision: Revision,
     /// Whether operators have the upstream and its zone in service.
-    pub standing: Standing,
+    pub standing: AdminState,
     /// Most careful slow start of the services that it serves.
     pub slow_start: SlowStart,
     /// Limits by service.
@@ -38,9 +38,9 @@
         let mut policy = Self {
             revision: declarations.revision,
             standing: if admitted {
-                Standing::In
+                AdminState::In
             } else {
-                Standing::Out
+                AdminState::Out
             },
             slow_start: Profile::default().slow_start,
             services: BTreeMap::new(),
@@ -88,7 +88,7 @@
         self.services.get(service).and_then(|s| s.concurrency)
     }
 
-    pub(super) fn lapse_of(&self, service: &ServiceName) -> LapsePolicy {
+    pub(super) fn lapse_of(&self, service: &ServiceName) -> LeaseExpiryPolicy {
         self.services
             .get(service)
             .map(|s| s.lapse)
--- a/decision/routing/tests/it/advice.rs
+++ b/decision/routing/tests/it/advice.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use pimentotide_model::{InstanceName, Standing, ZoneName};
+use pimentotide_model::{AdminState, InstanceName, ZoneName};
 use pimentotide_routing::{EntryState, advise};
 
 use crate::fixture::{ZONES, at, rng};
@@ -27,9 +27,9 @@
     let zone = ZoneName::from(ZONES[0]);
     let out = |z: &ZoneName| {
         if z.as_str() == ZONES[1] {
-            Standing::Out
+            AdminState::Out
         } else {
-            Standing::In
+            AdminState::In
         }
     };
     let advice = advise(Some(&zone), &entries, out, at(11_000), &mut rng());
@@ -38,12 +38,12 @@
     let none = advise(
         Some(&zone),
         &entries,
-        |_| Standing::Out,
+        |_| AdminState::Out,
         at(11_000),
         &mut rng(),
     );
     assert_eq!(none.addresses.len(), 7);
-    let silent = advise(None, &entries, |_| Standing::In, at(99_000), &mut rng());
+    let silent = advise(None, &entries, |_| AdminState::In, at(99_000), &mut rng());
     assert_eq!(silent.addresses.len(), 9);
 }
 
@@ -53,7 +53,7 @@
     let mut rng = rng();
     let mut firsts: BTreeMap<String, u32> = BTreeMap::new();
     for _ in 0..9_000 {
-        let advice = advise(None, &entries, |_| Standing::In, at(10_000), &mut rng);
+        let advice = advise(None, &entries, |_| AdminState::In, at(10_000), &mut rng);
         assert!((5..=10).contains(&advice.keep.as_secs()));
         *firsts.entry(advice.addresses[0].clone()).or_default() += 1;
     }
--- a/decision/routing/tests/it/fixture.rs
+++ b/decision/routing/tests/it/fixture.rs
@@ -3,9 +3,9 @@
 use std::time::Duration;
 
 use pimentotide_model::{
-    Announcement, Declarations, Fence, Fingerprint, Incarnation, InstanceName, LoadReport,
-    ModelName, Priority, Profile, ProfileName, RequestId, RequestMeta, Revision, Service,
-    ServiceKind, ServiceName, Standing, Time, UpstreamName, VersionName, Warmth, WorkspaceName,
+    AdminState, Announcement, Declarations, Fence, Fingerprint, Incarnation, InstanceName,
+    LoadReport, ModelName, Priority, Profile, ProfileName, RequestId, RequestMeta, Revision,
+    Service, ServiceKind, ServiceName, Time, UpstreamName, VersionName, Warmth, WorkspaceName,
     ZoneName,
 };
 use pimentotide_routing::{
@@ -171,6 +171,6 @@
     declarations.revision = declarations.revision.next();
     declarations
         .zones
-        .insert(ZoneName::from(zone), Standing::Out);
+        .insert(ZoneName::from(zone), AdminState::Out);
     declarations
 }
--- a/dev/bench/src/bin/capacity_control.rs
+++ b/dev/bench/src/bin/capacity_control.rs
@@ -10,7 +10,7 @@
 use pimentotide_control::directory::{Beat, Mark, Notice, Registry, Report, View};
 use pimentotide_control::machine::encode;
 use pimentotide_control::{Action, Command, Document, Machine, Order};
-use pimentotide_model::{Fence, Fingerprint, Incarnation, Revision, Standing, Time, Warmth};
+use pimentotide_model::{AdminState, Fence, Fingerprint, Incarnation, Revision, Time, Warmth};
 use serde::Serialize;
 
 /// Upstreams in a directory.
@@ -217,9 +217,9 @@
 
 fn zone(id: u64) -> Action {
     let standing = if id.is_multiple_of(2) {
-        Standing::In
+        AdminState::In
     } else {
-        Standing::Out
+        AdminState::Out
     };
     Action::Zone {
         zone: "region-1-zone-1".into(),
--- a/dev/bench/src/bin/currency.rs
+++ b/dev/bench/src/bin/currency.rs
@@ -13,7 +13,7 @@
 use pimentotide_control::{Action, Command, Document, Machine, Order};
 use pimentotide_instance::directory::{Directory, FollowOptions, Follower, SharedMachine, Source};
 use pimentotide_instance::{PeerClient, PeerServer, Token, View};
-use pimentotide_model::{Failure, Profile, ProfileName, Revision, Standing, Time};
+use pimentotide_model::{AdminState, Failure, Profile, ProfileName, Revision, Time};
 use tokio::sync::watch;
 
 const ENTRIES: usize = 9;
@@ -66,9 +66,9 @@
 
 fn zone(id: u64) -> Action {
     let standing = if id.is_multiple_of(2) {
-        Standing::In
+        AdminState::In
     } else {
-        Standing::Out
+        AdminState::Out
     };
     Action::Zone {
         zone: "zone-a".into(),
--- a/dev/bench/src/bin/outcome_cost.rs
+++ b/dev/bench/src/bin/outcome_cost.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 
 use pimentotide_model::{
-    ClaimId, Fingerprint, IdemKey, Incarnation, RequestId, ServiceName, Time, UpstreamName,
+    ClaimId, Fingerprint, IdempotencyKey, Incarnation, RequestId, ServiceName, Time, UpstreamName,
     WorkspaceName,
 };
 use pimentotide_outcome::{
@@ -73,9 +73,9 @@
     WorkspaceName::from(format!("assembly-{:02}", i % WORKSPACES))
 }
 
-fn key(i: usize) -> IdemKey {
+fn key(i: usize) -> IdempotencyKey {
     let digits = (i as u128).wrapping_mul(0x9e37_79b9_7f4a_7c15_f39c_c060_5ced_c835);
-    IdemKey::from(format!("{digits:032x}"))
+    IdempotencyKey::from(format!("{digits:032x}"))
 }
 
 fn place() -> Place {
--- a/dev/bench/src/bin/zone_return.rs
+++ b/dev/bench/src/bin/zone_return.rs
@@ -7,7 +7,7 @@
 use pimentotide_bench::fleet::{
     Answer, Load, Order, Outcome, Policy, Workload, World, WorldSettings, summarize,
 };
-use pimentotide_model::{Spread, Standing, Time};
+use pimentotide_model::{AdminState, Spread, Time};
 
 const ENTRIES: usize = 9;
 const CAPACITY: u32 = 16;
@@ -69,7 +69,7 @@
         lag: Duration::from_millis(250),
         spread: Spread::Near,
         choices: 6,
-        orders: vec![order(OUT, Standing::Out), order(BACK, Standing::In)],
+        orders: vec![order(OUT, AdminState::Out), order(BACK, AdminState::In)],
         seed,
     };
     World::new(settings, Workload::draw(&load, ENTRIES, seed))
--- a/dev/bench/src/fleet/event.rs
+++ b/dev/bench/src/fleet/event.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use pimentotide_model::{LoadReport, Spread, Standing, Time};
+use pimentotide_model::{AdminState, LoadReport, Spread, Time};
 use pimentotide_routing::{CacheEvent, CreditId, EntryDemand};
 
 use super::chooser::Policy;
@@ -14,8 +14,8 @@
     pub at: Time,
     /// Zone number.
     pub zone: usize,
-    /// Standing from then on.
-    pub standing: Standing,
+    /// Administrative state from then on.
+    pub standing: AdminState,
 }
 
 /// Shape of the deployment.
--- a/dev/bench/src/fleet/world.rs
+++ b/dev/bench/src/fleet/world.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BinaryHeap};
 use std::time::Duration;
 
-use pimentotide_model::{Declarations, LoadReport, Standing, Time, ZoneName};
+use pimentotide_model::{AdminState, Declarations, LoadReport, Time, ZoneName};
 use pimentotide_routing::{
     CacheChange, CreditId, Finished, GatePolicy, RetryBudget, Ticket, Verdict,
 };
@@ -383,7 +383,7 @@
         self.declarations
             .zones
             .insert(ZoneName::from(ZONES[order.zone]), order.standing);
-        if order.standing == Standing::In {
+        if order.standing == AdminState::In {
             for engine in (order.zone..self.nodes.len()).step_by(3) {
                 self.nodes[engine].engine.chill();
                 self.nodes[engine].holds.clear();
--- a/dev/scenario/src/script/parse.rs
+++ b/dev/scenario/src/script/parse.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use pimentotide_model::{LapsePolicy, ServiceKind};
+use pimentotide_model::{LeaseExpiryPolicy, ServiceKind};
 
 use super::expect::expect;
 use super::statement::{
@@ -178,8 +178,8 @@
         DEFAULT_DEADLINE
     };
     let lapse = match words.option("lapse")?.as_deref() {
-        None | Some("refuse") => LapsePolicy::Refuse,
-        Some("serve") => LapsePolicy::Serve,
+        None | Some("refuse") => LeaseExpiryPolicy::Refuse,
+        Some("serve") => LeaseExpiryPolicy::Serve,
         Some(other) => return Err(format!("expected refuse or serve, found {other:?}")),
     };
     Ok(Statement::Service(ServiceText {
--- a/dev/scenario/src/script/statement.rs
+++ b/dev/scenario/src/script/statement.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use pimentotide_model::{ErrorKind, LapsePolicy, Ran, ServiceKind};
+use pimentotide_model::{ErrorKind, LeaseExpiryPolicy, Ran, ServiceKind};
 
 /// One statement.
 #[derive(Clone, Debug, PartialEq)]
@@ -69,7 +69,7 @@
     pub(crate) once: bool,
     pub(crate) attempts: u32,
     pub(crate) deadline: Duration,
-    pub(crate) lapse: LapsePolicy,
+    pub(crate) lapse: LeaseExpiryPolicy,
 }
 
 /// A direction between nodes, or both; no name stands for all others.
--- a/dev/scenario/src/world/call.rs
+++ b/dev/scenario/src/world/call.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use pimentotide_control::{Action, Command, Order, Response, Verdict};
-use pimentotide_model::{OrderId, Revision, Standing, Time, UpstreamName, ZoneName};
+use pimentotide_model::{AdminState, OrderId, Revision, Time, UpstreamName, ZoneName};
 use pimentotide_outcome::Reply;
 
 use super::parcel::{Parcel, Proposed};
@@ -151,9 +151,9 @@
 
     pub(super) fn order(&mut self, text: &OrderText) -> Result<(), String> {
         let standing = if text.standing == "out" {
-            Standing::Out
+            AdminState::Out
         } else {
-            Standing::In
+            AdminState::In
         };
         let action = if text.kind == "zone" {
             Action::Zone {
@@ -201,9 +201,9 @@
         let zone = ZoneName::from("flooded");
         for number in 0..count {
             let standing = if number.is_multiple_of(2) {
-                Standing::Out
+                AdminState::Out
             } else {
-                Standing::In
+                AdminState::In
             };
             let id = format!("flood-{}-{number}", self.time.as_millis());
             let order = Order {
--- a/dev/scenario/src/world/entry.rs
+++ b/dev/scenario/src/world/entry.rs
@@ -5,7 +5,7 @@
 use pimentotide_control::currency::Taken;
 use pimentotide_control::directory::{Event, HEARTBEAT, Presence, Report};
 use pimentotide_model::{
-    ErrorKind, Failure, Fingerprint, IdemKey, Incarnation, LoadReport, ModelName, Priority,
+    ErrorKind, Failure, Fingerprint, IdempotencyKey, Incarnation, LoadReport, ModelName, Priority,
     RequestMeta, ServiceKind, ServiceName, Time, UpstreamName, WorkspaceName, ZoneName,
 };
 use pimentotide_outcome::LedgerEpoch;
@@ -120,7 +120,7 @@
             priority: Priority(100),
             deadline: self.local(node) + service.deadline,
             idempotent: !service.once,
-            key: text.key.as_deref().map(IdemKey::from),
+            key: text.key.as_deref().map(IdempotencyKey::from),
             fingerprint: Fingerprint::of([content.as_bytes()]),
             prefix: Vec::new(),
             stream: !service.once,
--- a/dev/scenario/src/world/ledger.rs
+++ b/dev/scenario/src/world/ledger.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use pimentotide_model::{
-    Declarations, ErrorKind, Failure, Fingerprint, Ran, Revision, Standing, Time,
+    AdminState, Declarations, ErrorKind, Failure, Fingerprint, Ran, Revision, Time,
 };
 
 /// Time within which an order or a leaving has to be in force everywhere.
@@ -202,10 +202,10 @@
         let upstreams = upstreams.map(|(u, p)| (u.as_str(), p.standing));
         for (place, standing) in zones.chain(upstreams) {
             match standing {
-                Standing::Out => {
+                AdminState::Out => {
                     self.outs.entry(place.to_owned()).or_insert(at);
                 }
-                Standing::In => {
+                AdminState::In => {
                     self.outs.remove(place);
                 }
             }
--- a/peers/caller/src/call.rs
+++ b/peers/caller/src/call.rs
@@ -8,8 +8,8 @@
 use bytes::Bytes;
 use futures_util::Stream;
 use pimentotide_model::{
-    AdapterName, Failure, IdemKey, InstanceName, ModelName, Priority, RequestId, ServiceName,
-    VersionName, WorkspaceName, ZoneName,
+    AdapterName, Failure, IdempotencyKey, InstanceName, ModelName, Priority, RequestId,
+    ServiceName, VersionName, WorkspaceName, ZoneName,
 };
 use serde::{Deserialize, Serialize};
 
@@ -33,7 +33,7 @@
     /// Time that the caller allows.
     pub deadline: Option<Duration>,
     /// Key that marks a retry.
-    pub key: Option<IdemKey>,
+    pub key: Option<IdempotencyKey>,
     /// Whether the answer is to be streamed.
     pub stream: bool,
     /// Text by which prompts share a prefix.
--- a/peers/caller/src/parse.rs
+++ b/peers/caller/src/parse.rs
@@ -7,7 +7,7 @@
 use actix_web::http::header::{ACCEPT, CONTENT_TYPE, HeaderMap};
 use bytes::Bytes;
 use pimentotide_model::{
-    AdapterName, ErrorKind, Failure, IdemKey, ModelName, Priority, RequestId, ServiceName,
+    AdapterName, ErrorKind, Failure, IdempotencyKey, ModelName, Priority, RequestId, ServiceName,
     VersionName, WorkspaceName,
 };
 use pimentotide_outcome::MAX_KEY_BYTES;
@@ -133,7 +133,7 @@
     Ok(millis.map(Duration::from_millis))
 }
 
-fn key(headers: &HeaderMap) -> Result<Option<IdemKey>, Failure> {
+fn key(headers: &HeaderMap) -> Result<Option<IdempotencyKey>, Failure> {
     let Some(key) = text(headers, KEY_HEADER)? else {
         return Ok(None);
     };
@@ -141,7 +141,7 @@
         let detail = format!("{KEY_HEADER}: expected 1 to {MAX_KEY_BYTES} bytes");
         return Err(invalid(detail));
     }
-    Ok(Some(IdemKey::from(key)))
+    Ok(Some(IdempotencyKey::from(key)))
 }
 
 fn name<T, F>(headers: &HeaderMap, header: &str, is_valid: F) -> Result<Option<T>, Failure>
--- a/peers/caller/src/problem.rs
+++ b/peers/caller/src/problem.rs
@@ -13,7 +13,7 @@
 
 /// Answers a failure with a problem document.
 pub fn problem(failure: &Failure, id: RequestId) -> HttpResponse {
-    let answer = failure.kind.answer();
+    let answer = failure.kind.response();
     let status = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     let mut response = HttpResponse::build(status);
     response.insert_header((REQUEST_HEADER, id.to_string()));
@@ -31,7 +31,7 @@
 }
 
 fn document(failure: &Failure, id: RequestId) -> Value {
-    let answer = failure.kind.answer();
+    let answer = failure.kind.response();
     json!({
         "type": "about:blank",
         "title": answer.title,
--- a/peers/instance/src/server.rs
+++ b/peers/instance/src/server.rs
@@ -144,7 +144,7 @@
 }
 
 fn refusal() -> HttpResponse {
-    let answer = ErrorKind::Forbidden.answer();
+    let answer = ErrorKind::Forbidden.response();
     let mut response = HttpResponse::new(HttpBody::from(answer.title));
     if let Ok(status) = answer.status.try_into() {
         *response.status_mut() = status;
--- a/peers/instance/src/work/order.rs
+++ b/peers/instance/src/work/order.rs
@@ -4,7 +4,7 @@
 
 use derive_more::Display;
 use pimentotide_model::{
-    ClaimId, Fingerprint, IdemKey, Incarnation, InstanceName, Priority, RequestId, Revision,
+    ClaimId, Fingerprint, IdempotencyKey, Incarnation, InstanceName, Priority, RequestId, Revision,
     ServiceName, WorkspaceName,
 };
 use pimentotide_outcome::Place;
@@ -36,7 +36,7 @@
     /// Whether it may run more than once.
     pub idempotent: bool,
     /// Key of the caller.
-    pub key: Option<IdemKey>,
+    pub key: Option<IdempotencyKey>,
     /// Right to run it; set for non-idempotent requests.
     pub claim: Option<HeldClaim>,
     /// Digest of the content.
--- a/peers/instance/tests/it/directory.rs
+++ b/peers/instance/tests/it/directory.rs
@@ -15,7 +15,7 @@
 };
 use pimentotide_instance::{PeerClient, PeerServer, Token, View};
 use pimentotide_model::{
-    Announcement, ErrorKind, Failure, Fence, Incarnation, Revision, ServiceKind, Standing, Time,
+    AdminState, Announcement, ErrorKind, Failure, Fence, Incarnation, Revision, ServiceKind, Time,
     UpstreamName, Warmth,
 };
 use tokio::sync::watch;
@@ -52,7 +52,7 @@
         self.machine.clone().apply(Index(1), Time::ZERO, &command);
     }
 
-    fn zone(&self, id: &str, standing: Standing) {
+    fn zone(&self, id: &str, standing: AdminState) {
         let order = Order {
             id: id.into(),
             base: None,
@@ -163,7 +163,7 @@
         Ok(())
     );
     for i in 0..300 {
-        state.zone(&format!("o{i}"), Standing::Out);
+        state.zone(&format!("o{i}"), AdminState::Out);
     }
     let last = until("push", &mut view, |v| {
         v.declarations.revision == Revision(300)
@@ -179,7 +179,7 @@
 #[actix_rt::test]
 async fn restored_state_is_pushed() {
     let ahead = State::new();
-    ahead.zone("o1", Standing::Out);
+    ahead.zone("o1", AdminState::Out);
     let state = State::new();
     let replica = Replica::start(&state, 1).await;
     let follower = follow(vec![replica.client()], None);
@@ -207,7 +207,7 @@
         until("first answer", view, View::is_current).await;
     }
     first.server.stop().await;
-    state.zone("o1", Standing::Out);
+    state.zone("o1", AdminState::Out);
     for view in &mut views {
         assert!(view.borrow().is_current());
         let view = until("order", view, |v| v.declarations.revision == Revision(1)).await;
@@ -230,7 +230,7 @@
         }
     };
     soon("lapse", lapse).await;
-    state.zone("o1", Standing::Out);
+    state.zone("o1", AdminState::Out);
     let mut later = view.clone();
     let taken = later.wait_for(|v| v.declarations.revision > Revision(0));
     let taken = tokio::time::timeout(Duration::from_secs(1), taken).await;
--- a/peers/operator/src/message.rs
+++ b/peers/operator/src/message.rs
@@ -6,8 +6,8 @@
 use pimentotide_control::{Action, Scope};
 use pimentotide_document::Problem;
 use pimentotide_model::{
-    Declarations, ErrorKind, Failure, ModelName, OrderId, ProfileName, Ran, Revision, Service,
-    ServiceName, Standing, UpstreamName, ZoneName,
+    AdminState, Declarations, ErrorKind, Failure, ModelName, OrderId, ProfileName, Ran, Revision,
+    Service, ServiceName, UpstreamName, ZoneName,
 };
 use serde::{Deserialize, Serialize};
 
@@ -43,7 +43,7 @@
         /// Zone.
         zone: ZoneName,
         /// Whether it takes new work.
-        standing: Standing,
+        standing: AdminState,
     },
     /// Takes an upstream in or out of service, or says whether it checks fencing numbers.
     Upstream {
@@ -51,7 +51,7 @@
         upstream: UpstreamName,
         /// Whether it takes new work; unchanged if none.
         #[serde(default)]
-        standing: Option<Standing>,
+        standing: Option<AdminState>,
         /// Whether its engine refuses old fencing numbers; unchanged if none.
         #[serde(default)]
         fenced: Option<bool>,
@@ -196,7 +196,7 @@
 
 impl From<Failure> for ProblemBody {
     fn from(failure: Failure) -> Self {
-        let answer = failure.kind.answer();
+        let answer = failure.kind.response();
         Self {
             kind: failure.kind,
             title: answer.title.to_owned(),
--- a/peers/operator/src/status.rs
+++ b/peers/operator/src/status.rs
@@ -5,7 +5,7 @@
 use pimentotide_control::Machine;
 use pimentotide_control::directory::{Member as Upstream, Presence, Registry};
 use pimentotide_model::{
-    GroupName, Incarnation, Revision, Standing, UpstreamName, UpstreamPolicy, Warmth, ZoneName,
+    AdminState, GroupName, Incarnation, Revision, UpstreamName, UpstreamPolicy, Warmth, ZoneName,
 };
 use serde::{Deserialize, Serialize};
 
@@ -40,7 +40,7 @@
     /// Name of the zone.
     pub name: ZoneName,
     /// Whether operators have it in service.
-    pub standing: Standing,
+    pub standing: AdminState,
     /// Warm if all its upstreams are, cold if none has begun to warm up; none without upstreams.
     pub warmth: Option<Warmth>,
     /// Upstreams announced in it.
@@ -55,7 +55,7 @@
     /// Name of the upstream.
     pub name: UpstreamName,
     /// Whether operators have it in service.
-    pub standing: Standing,
+    pub standing: AdminState,
     /// Whether its engine refuses old fencing numbers.
     pub fenced: bool,
     /// What its agent announces; none if it is silent.
--- a/peers/operator/tests/it/command.rs
+++ b/peers/operator/tests/it/command.rs
@@ -2,7 +2,7 @@
 
 use std::net::{SocketAddr, TcpListener};
 
-use pimentotide_model::{Revision, Standing, Warmth};
+use pimentotide_model::{AdminState, Revision, Warmth};
 use pimentotide_operator::MemberChange;
 use pimentotide_operator::client::Exit;
 use pimentotide_operator::command::{Output, Request, execute};
@@ -13,7 +13,7 @@
 fn zone_out(name: &str) -> Request {
     Request::Order(ActionRequest::Zone {
         zone: name.into(),
-        standing: Standing::Out,
+        standing: AdminState::Out,
     })
 }
 
@@ -129,7 +129,7 @@
     run(&at, "o1", zone_out("accra-b")).await;
     let upstream = Request::Order(ActionRequest::Upstream {
         upstream: "u3".into(),
-        standing: Some(Standing::Out),
+        standing: Some(AdminState::Out),
         fenced: Some(true),
     });
     run(&at, "o2", upstream).await;
