--- a/decision/model/src/declaration.rs
+++ b/decision/model/src/declaration.rs
@@ -1,4 +1,5 @@
-//! What operators declare: profiles, services and what is in or out of service.
+//! Declarations of operators: profiles, services, workspaces and the administrative
+//! state of zones and upstreams.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,7 +12,7 @@
     VersionName, WorkspaceName, ZoneName,
 };
 
-/// Priority of a request: higher goes first.
+/// Queue priority of a request; higher is served first.
 #[derive(
     Clone,
     Copy,
@@ -30,24 +31,24 @@
 #[serde(transparent)]
 pub struct Priority(pub u8);
 
-/// Whether operators have a zone or an upstream in service.
+/// Administrative state of a zone or an upstream, set by operators.
 #[derive(Clone, Copy, Debug, Default, Display, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum AdminState {
-    /// Takes new work.
+    /// In service: accepts new work.
     #[default]
     #[display("in")]
     In,
-    /// Takes no new work.
+    /// Out of service: accepts no new work.
     #[display("out")]
     Out,
 }
 
-/// What a service is made of.
+/// Kind of upstream behind a service.
 #[derive(Clone, Copy, Debug, Default, Display, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ServiceKind {
-    /// Model engines behind the completions interface.
+    /// Model engines behind the completions API.
     #[default]
     #[display("model")]
     Model,
@@ -56,28 +57,29 @@
     Plain,
 }
 
-/// How strictly work is kept near the caller.
+/// Distribution of requests over availability zones.
 #[derive(Clone, Copy, Debug, Default, Display, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Spread {
-    /// Near zones first, others when near ones are loaded.
+    /// Prefers near zones; uses others when the near ones are loaded.
     #[default]
     #[display("near")]
     Near,
-    /// All zones alike.
+    /// Treats all zones alike.
     #[display("even")]
     Even,
 }
 
-/// What an agent does with new work once its lease on being current has run out.
+/// How an agent handles new work after its configuration lease has expired.
 #[derive(Clone, Copy, Debug, Default, Display, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LeaseExpiryPolicy {
-    /// Refuses new work, so that a zone taken out unheard stays out.
+    /// Rejects new work, so that a zone taken out of service while the agent is
+    /// unreachable serves no requests.
     #[default]
     #[display("refuse")]
     Refuse,
-    /// Goes on under the last configuration.
+    /// Continues to serve under the last received configuration.
     #[display("serve")]
     Serve,
 }
@@ -85,62 +87,62 @@
 /// Preference among availability zones.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ZonePolicy {
-    /// Zones in order of preference, before nearness counts.
+    /// Zones in order of preference; takes precedence over proximity.
     pub prefer: Vec<ZoneName>,
-    /// How strictly work is kept near.
+    /// Distribution of requests over zones.
     pub spread: Spread,
 }
 
-/// Bounds of the queue that an entry keeps for a service.
+/// Limits of the queue that an entry keeps for a service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QueuePolicy {
-    /// Most requests waiting in one entry.
+    /// Maximum number of queued requests per entry.
     pub bound: u32,
-    /// Longest wait before a request is refused.
+    /// Maximum time in the queue before a request is rejected.
     pub wait: Duration,
 }
 
-/// Retries of a service.
+/// Retry limits of a service.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RetryPolicy {
-    /// Most attempts a request makes, the first included.
+    /// Maximum attempts per request, including the first.
     pub attempts: u32,
-    /// Retries allowed per request that succeeds, 0.0 to 1.0.
+    /// Retry budget: retries allowed per successful request, 0.0 to 1.0.
     pub budget: f64,
-    /// Pause before the first retry; doubles with each one, with jitter.
+    /// Delay before the first retry; doubles with each further retry, with jitter.
     pub backoff: Duration,
 }
 
-/// How the allowance of an upstream grows after a start.
+/// Growth of an upstream's concurrency limit (its allowance) after a start.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SlowStart {
-    /// Requests at once right after a start.
+    /// Concurrent requests allowed right after a start.
     pub initial: u32,
-    /// Completions in good time that raise the allowance by one.
+    /// Timely completions that raise the allowance by one.
     pub completions: u32,
-    /// Shortest time from a start to full allowance.
+    /// Minimum time from a start to the full allowance.
     pub least: Duration,
 }
 
-/// What rebalancing expert maps may cost.
+/// Cost limits of rebalancing expert maps.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RebalancePolicy {
-    /// Weights moved at most in an hour, bytes.
+    /// Maximum weights moved per hour, in bytes.
     pub hourly: u64,
-    /// Staging memory at most on a rank, bytes.
+    /// Maximum staging memory per rank, in bytes.
     pub staging: u64,
-    /// Time over which a move has to pay for itself.
+    /// Time within which the benefit of a move has to exceed its cost.
     pub horizon: Duration,
 }
 
-/// A named way of placing a service's work.
+/// Named set of placement, queueing and retry settings for services.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Profile {
-    /// Name of the profile.
+    /// Unique name, by which services refer to the profile.
     pub name: ProfileName,
-    /// Model that serves it; none for plain services.
+    /// Model that serves its requests; `None` for plain services.
     pub model: Option<ModelName>,
-    /// Version of the model; any if none.
+    /// Version of the model; any version if `None`.
     pub version: Option<VersionName>,
     /// Adapters that its requests may name.
     pub adapters: Vec<AdapterName>,
@@ -148,34 +150,34 @@
     pub zones: ZonePolicy,
     /// Priority of its requests.
     pub priority: Priority,
-    /// Time a request has from its arrival.
+    /// Time allowed for a request, counted from its arrival.
     pub deadline: Duration,
-    /// Queue in each entry.
+    /// Limits of the queue in each entry.
     pub queue: QueuePolicy,
-    /// Requests at once on one upstream; the upstream's capacity if none.
+    /// Maximum concurrent requests per upstream; the upstream's capacity if `None`.
     pub concurrency: Option<u32>,
-    /// Retries.
+    /// Retry limits.
     pub retry: RetryPolicy,
     /// Whether requests may run more than once.
     pub idempotent: bool,
-    /// Weight of each workspace in the queue; 1 where not named.
+    /// Queue weight of each workspace; 1 if absent.
     pub shares: BTreeMap<WorkspaceName, u32>,
-    /// Growth of the allowance after a start.
+    /// Growth of an upstream's allowance after a start.
     pub slow_start: SlowStart,
     /// Cost limits of rebalancing.
     pub rebalance: RebalancePolicy,
-    /// What agents do when cut off from control.
+    /// How agents handle new work after their configuration lease has expired.
     pub lapse: LeaseExpiryPolicy,
 }
 
-/// A service that callers ask for.
+/// A service that callers request by name.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Service {
     /// Name of the service.
     pub name: ServiceName,
-    /// What it is made of.
+    /// Kind of upstream that serves it.
     pub kind: ServiceKind,
-    /// Profile that it runs under.
+    /// Profile that applies to its requests.
     pub profile: ProfileName,
 }
 
@@ -184,33 +186,33 @@
 pub struct Workspace {
     /// Name of the workspace.
     pub name: WorkspaceName,
-    /// Services that it may use; all if empty.
+    /// Services that it may use; all services if empty.
     pub services: Vec<ServiceName>,
 }
 
-/// What operators say of one upstream.
+/// Operator settings of one upstream.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UpstreamPolicy {
-    /// Whether it takes new work.
+    /// Whether the upstream accepts new work.
     pub standing: AdminState,
-    /// Whether its engine refuses orders with an old fencing number.
+    /// Whether its engine rejects orders with an outdated fencing token.
     pub fenced: bool,
 }
 
 /// All declarations in force at one revision.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Declarations {
-    /// Revision of the whole.
+    /// Revision at which this set was committed.
     pub revision: Revision,
     /// Profiles by name.
     pub profiles: BTreeMap<ProfileName, Profile>,
     /// Services by name.
     pub services: BTreeMap<ServiceName, Service>,
-    /// Workspaces by name; any workspace is welcome if empty.
+    /// Workspaces by name; every workspace is accepted if empty.
     pub workspaces: BTreeMap<WorkspaceName, Workspace>,
-    /// Zones by name; a zone that is not named is in.
+    /// Zones by name; a zone that is absent is in service.
     pub zones: BTreeMap<ZoneName, AdminState>,
-    /// Upstreams by name; an upstream that is not named is in.
+    /// Upstreams by name; an upstream that is absent is in service.
     pub upstreams: BTreeMap<UpstreamName, UpstreamPolicy>,
     /// Groups whose rebalancing is paused.
     pub paused: Vec<GroupName>,
@@ -219,7 +221,7 @@
 }
 
 impl Declarations {
-    /// Whether operators let `upstream` in `zone` take new work.
+    /// Returns whether both `zone` and `upstream` are in service.
     pub fn admits(&self, zone: &ZoneName, upstream: &UpstreamName) -> bool {
         let zone_in = self.zones.get(zone).is_none_or(|s| *s == AdminState::In);
         let upstream_in = self
@@ -229,14 +231,14 @@
         zone_in && upstream_in
     }
 
-    /// Returns the profile that `service` runs under.
+    /// Returns the profile of `service`, if both are declared.
     pub fn profile_of(&self, service: &ServiceName) -> Option<&Profile> {
         self.services
             .get(service)
             .and_then(|s| self.profiles.get(&s.profile))
     }
 
-    /// Returns the first service that serves `model`.
+    /// Returns the first service, by name, whose profile names `model`.
     pub fn service_for(&self, model: &ModelName) -> Option<&Service> {
         self.services.values().find(|s| {
             self.profiles
--- a/decision/model/src/id.rs
+++ b/decision/model/src/id.rs
@@ -28,15 +28,15 @@
 }
 
 counters! {
-    /// Number of a committed configuration; only rises.
+    /// Number of a committed configuration; never decreases.
     Revision;
     /// Election term of the replicated log.
     Term;
-    /// Fencing number of orders to upstreams; only rises.
+    /// Fencing token of orders to upstreams; never decreases.
     Fence;
-    /// Start of an upstream process: a higher number is a newer start.
+    /// Number of an upstream process start; a higher number is a newer process.
     Incarnation;
-    /// Right to run one non-idempotent request once.
+    /// Identifier of the right to run one non-idempotent request once.
     ClaimId;
 }
 
@@ -66,13 +66,13 @@
 }
 
 keys! {
-    /// Identifier that an operator gives an order, the same when it is resent.
+    /// Identifier that an operator assigns to an order; unchanged when it is resent.
     OrderId;
-    /// Key by which a caller marks a retry of the same request.
+    /// Key that a caller sends again with each retry of the same request.
     IdempotencyKey;
 }
 
-/// Identifier of one request, unique in the deployment.
+/// Identifier of one request, unique in the deployment; 32 hex digits as text.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -107,14 +107,14 @@
     }
 }
 
-/// Digest of what a request asks for, equal for equal content.
+/// 128-bit BLAKE3 digest of a request's content, equal for equal content.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Fingerprint(pub [u8; 16]);
 
 impl Fingerprint {
-    /// Digests the parts in order; part boundaries count.
+    /// Digests the parts in order; each part's length is included, so boundaries matter.
     pub fn of<'a, I>(parts: I) -> Self
     where
         I: IntoIterator<Item = &'a [u8]>,
--- a/decision/model/src/lib.rs
+++ b/decision/model/src/lib.rs
@@ -1,9 +1,9 @@
-//! Shared vocabulary of the decision packages.
+//! Data types shared by the decision packages.
 //!
-//! Everything here is plain data: names, identifiers, virtual time, the closed
-//! list of error kinds, the declarations that operators make and the reports
-//! that upstreams send. No type in this package performs input or output, so
-//! every decision can run under virtual time.
+//! Defines names, identifiers, virtual time, the closed set of error kinds, the
+//! declarations that operators make and the reports that upstreams send. No type
+//! in this package performs input or output, so every decision can run under
+//! virtual time.
 
 mod declaration;
 mod error;
--- a/decision/model/src/name.rs
+++ b/decision/model/src/name.rs
@@ -1,4 +1,4 @@
-//! Names as immutable strings that are cheap to clone and to share.
+//! Names as immutable, reference-counted strings that are cheap to clone and share.
 
 use std::borrow::Borrow;
 use std::sync::Arc;
@@ -6,7 +6,7 @@
 use derive_more::{AsRef, Deref, Display};
 use serde::{Deserialize, Serialize};
 
-/// Longest accepted name, in bytes.
+/// Maximum length of a valid name.
 const MAX_NAME_BYTES: usize = 128;
 
 macro_rules! names {
@@ -27,7 +27,7 @@
                 &self.0
             }
 
-            /// Whether `text` may be used as a name of this kind.
+            /// Returns whether `text` is a valid name of this kind.
             pub fn is_valid(text: &str) -> bool {
                 is_valid_name(text)
             }
@@ -58,7 +58,7 @@
     RegionName;
     /// Name of an availability zone.
     ZoneName;
-    /// Name of an instance that runs a process of this system.
+    /// Name of an instance that runs a process of this deployment.
     InstanceName;
     /// Name of an upstream.
     UpstreamName;
@@ -78,7 +78,7 @@
     GroupName;
 }
 
-/// Names are printable ASCII without white space, quotes or control characters.
+/// Returns whether `text` is 1 to 128 ASCII letters, digits or any of `-_./:`.
 fn is_valid_name(text: &str) -> bool {
     !text.is_empty()
         && text.len() <= MAX_NAME_BYTES
--- a/decision/model/src/report.rs
+++ b/decision/model/src/report.rs
@@ -1,4 +1,4 @@
-//! What upstreams and their agents tell the rest of the deployment.
+//! Announcements and load reports that agents send about their upstreams.
 
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
@@ -8,34 +8,34 @@
     UpstreamName, VersionName, ZoneName,
 };
 
-/// How much of its full load an upstream can bear.
+/// Warm-up state of an upstream.
 #[derive(Clone, Copy, Debug, Default, Display, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Warmth {
-    /// Just started: bears only the initial allowance.
+    /// Just started: limited to the initial allowance.
     #[default]
     #[display("cold")]
     Cold,
-    /// Allowance grows with completions.
+    /// The allowance grows with completions.
     #[display("warming")]
     Warming,
-    /// Bears its full limit.
+    /// Accepts load up to its full limit.
     #[display("warm")]
     Warm,
 }
 
-/// What an agent announces about its upstream; changes seldom.
+/// Attributes of an upstream that its agent announces; they change rarely.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Announcement {
     /// Name of the upstream.
     pub upstream: UpstreamName,
-    /// Start that this announcement belongs to.
+    /// Incarnation of the upstream process that this announcement describes.
     pub incarnation: Incarnation,
     /// Availability zone of the upstream.
     pub zone: ZoneName,
     /// Address of the agent, `IP:PORT`.
     pub address: String,
-    /// Whether a model engine or a plain service.
+    /// Whether the upstream is a model engine or a plain service.
     pub kind: ServiceKind,
     /// Services that a plain upstream offers.
     pub services: Vec<ServiceName>,
@@ -43,32 +43,32 @@
     pub models: Vec<(ModelName, VersionName)>,
     /// Adapters loaded.
     pub adapters: Vec<AdapterName>,
-    /// Most requests that the upstream runs at once when warm.
+    /// Maximum concurrent requests when warm.
     pub capacity: u32,
-    /// Group whose ranks the upstream hosts.
+    /// Group whose ranks the upstream hosts, if any.
     pub group: Option<GroupName>,
-    /// Whether the upstream is leaving and takes no new work.
+    /// Whether the upstream is shutting down and accepts no new work.
     pub leaving: bool,
-    /// Configuration that the agent has in force.
+    /// Revision of the configuration that the agent applies.
     pub revision: Revision,
-    /// Highest fencing number seen by the agent.
+    /// Highest fencing token that the agent has received.
     pub fence: Fence,
 }
 
-/// Load of an upstream as its agent saw it; arrives late.
+/// Load of an upstream as measured by its agent; stale by the time it is received.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// Start that this report belongs to.
+    /// Incarnation of the upstream process that this report describes.
     pub incarnation: Incarnation,
     /// Position in the agent's sequence of reports.
     pub sequence: u64,
-    /// Requests running.
+    /// Requests in flight.
     pub running: u32,
-    /// Requests waiting inside the engine.
+    /// Requests queued inside the engine.
     pub waiting: u32,
-    /// Requests that may run at once for now.
+    /// Current limit of concurrent requests.
     pub allowance: u32,
-    /// How far the upstream has warmed up.
+    /// Warm-up state of the upstream.
     pub warmth: Warmth,
     /// Smoothed time to first token, microseconds.
     pub first_token: u64,
--- a/decision/model/src/request.rs
+++ b/decision/model/src/request.rs
@@ -1,4 +1,4 @@
-//! What the deployment knows about one request before it is placed.
+//! Metadata of one request, available before it is placed.
 
 use serde::{Deserialize, Serialize};
 
@@ -13,29 +13,29 @@
 /// Placement attributes of one request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RequestMeta {
-    /// Identifier in the deployment.
+    /// Identifier, unique in the deployment.
     pub id: RequestId,
-    /// Workspace on whose behalf it runs.
+    /// Workspace on whose behalf the request runs.
     pub workspace: WorkspaceName,
-    /// Service that is asked.
+    /// Requested service.
     pub service: ServiceName,
-    /// Model asked for; none for plain services.
+    /// Requested model; `None` for plain services.
     pub model: Option<ModelName>,
-    /// Version asked for; any if none.
+    /// Requested model version; any version if `None`.
     pub version: Option<VersionName>,
-    /// Adapter asked for.
+    /// Requested adapter, if any.
     pub adapter: Option<AdapterName>,
-    /// Priority: higher goes first.
+    /// Queue priority; higher is served first.
     pub priority: Priority,
-    /// Time by which it must be answered.
+    /// Time by which the request must be answered.
     pub deadline: Deadline,
-    /// Whether it may run more than once.
+    /// Whether the request may run more than once.
     pub idempotent: bool,
-    /// Key by which the caller marks a retry.
+    /// Idempotency key, if the caller sent one.
     pub key: Option<IdempotencyKey>,
-    /// Digest of the content.
+    /// Digest of the request's content.
     pub fingerprint: Fingerprint,
-    /// Digests of the prompt's blocks, each covering all before it.
+    /// Digests of the prompt's blocks; each also covers all preceding blocks.
     pub prefix: Vec<u64>,
     /// Whether the answer is streamed.
     pub stream: bool,
--- a/decision/model/src/time.rs
+++ b/decision/model/src/time.rs
@@ -1,4 +1,4 @@
-//! Monotonic time that a decision is told rather than reads.
+//! Monotonic time, passed to each decision by its caller instead of read from a clock.
 
 use std::ops::{Add, AddAssign, Sub};
 use std::time::Duration;
@@ -6,7 +6,7 @@
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
 
-/// Microseconds since an arbitrary start that all events of one process share.
+/// Microseconds since an arbitrary origin that all events of one process share.
 #[derive(
     Clone,
     Copy,
@@ -26,32 +26,32 @@
 pub struct Time(u64);
 
 impl Time {
-    /// Start of time.
+    /// The origin.
     pub const ZERO: Self = Self(0);
-    /// A time that is never reached.
+    /// Latest representable time; stands for "never".
     pub const MAX: Self = Self(u64::MAX);
 
-    /// Builds a time from microseconds since the start.
+    /// Builds a time from microseconds since the origin.
     pub const fn from_micros(micros: u64) -> Self {
         Self(micros)
     }
 
-    /// Builds a time from milliseconds since the start.
+    /// Builds a time from milliseconds since the origin.
     pub const fn from_millis(millis: u64) -> Self {
         Self(millis * 1_000)
     }
 
-    /// Microseconds since the start.
+    /// Returns the microseconds since the origin.
     pub const fn as_micros(self) -> u64 {
         self.0
     }
 
-    /// Milliseconds since the start, rounded down.
+    /// Returns the milliseconds since the origin, rounded down.
     pub const fn as_millis(self) -> u64 {
         self.0 / 1_000
     }
 
-    /// Time elapsed since `earlier`, zero if `earlier` lies ahead.
+    /// Returns the time elapsed since `earlier`; zero if `earlier` is later than `self`.
     pub const fn since(self, earlier: Self) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
     }
