--- a/decision/model/src/error.rs
+++ b/decision/model/src/error.rs
@@ -67,13 +67,13 @@
     /// Malformed body, header or path.
     InvalidRequest, "invalid_request", 400, No, None, "The request is malformed";
     /// The sender presented no credentials of a member of the deployment.
-    Forbidden, "forbidden", 403, No, None, "The sender is not authorized";
+    Forbidden, "forbidden", 403, No, None, "The sender may not ask for this";
     /// The workspace is not declared or may not use the service.
-    UnknownWorkspace, "unknown_workspace", 403, No, None, "The workspace is unknown or may not use the service";
+    UnknownWorkspace, "unknown_workspace", 403, No, None, "The workspace is not known here";
     /// The model is not in service.
     UnknownModel, "unknown_model", 404, No, None, "The model is not in service";
     /// The service, profile, zone, upstream, group or path does not exist.
-    NotFound, "not_found", 404, No, None, "No object of this name exists";
+    NotFound, "not_found", 404, No, None, "There is nothing of this name";
     /// The method is not supported on this path.
     MethodNotAllowed, "method_not_allowed", 405, No, None, "The method is not supported here";
     /// The caller did not send its request within the timeout.
@@ -89,39 +89,39 @@
     /// The declarations fail validation.
     InvalidDeclaration, "invalid_declaration", 422, No, None, "The declarations are not valid";
     /// The request crashed the upstreams that ran it.
-    CrashingRequest, "crashing_request", 422, Yes, Some(600), "The request crashes the upstreams that run it";
+    CrashingRequest, "crashing_request", 422, Yes, Some(600), "The request crashes what runs it";
     /// The queue, every usable upstream or the workspace's share is full.
-    Overloaded, "overloaded", 429, No, Some(1), "No capacity for the request at present";
+    Overloaded, "overloaded", 429, No, Some(1), "There is no room for the request now";
     /// The caller cancelled the request or disconnected.
     Cancelled, "cancelled", 499, Unknown, None, "The caller cancelled the request";
     /// An internal fault of this software.
-    Internal, "internal", 500, Unknown, None, "Internal error";
+    Internal, "internal", 500, Unknown, None, "The system failed";
     /// The upstream failed while it ran the request.
     UpstreamFailed, "upstream_failed", 502, Unknown, Some(1), "The upstream failed";
     /// The response stream was interrupted and could not be resumed.
-    StreamBroken, "stream_broken", 502, Yes, Some(1), "The response stream was interrupted";
+    StreamBroken, "stream_broken", 502, Yes, Some(1), "The answer broke off";
     /// It can no longer be determined whether the request ran.
-    OutcomeUnknown, "outcome_unknown", 502, Unknown, None, "The outcome of the request is unknown";
+    OutcomeUnknown, "outcome_unknown", 502, Unknown, None, "The outcome is not known";
     /// No upstream in service can accept the request.
-    NoUpstream, "no_upstream", 503, No, Some(2), "No upstream can accept the request";
+    NoUpstream, "no_upstream", 503, No, Some(2), "No upstream can take the request";
     /// The process is shutting down and accepts no new work.
     Stopping, "stopping", 503, No, Some(1), "This instance is stopping";
     /// The zone or the upstream is out of service.
-    OutOfService, "out_of_service", 503, No, Some(1), "The zone or upstream is out of service";
+    OutOfService, "out_of_service", 503, No, Some(1), "Out of service";
     /// The sender's configuration is older than the receiver's.
     StaleRevision, "stale_revision", 503, No, Some(1), "The sender's configuration is out of date";
     /// The lease has expired, no configuration was received yet or control is unreachable.
-    NotCurrent, "not_current", 503, No, Some(1), "This instance has no contact with control";
+    NotCurrent, "not_current", 503, No, Some(1), "This instance is cut off from control";
     /// This replica is not the leader.
-    NotLeader, "not_leader", 503, No, Some(1), "This replica is not the leader";
+    NotLeader, "not_leader", 503, No, Some(1), "Another replica leads";
     /// No quorum of control replicas responds.
     NoQuorum, "no_quorum", 503, Unknown, Some(1), "No quorum of control replicas answers";
     /// A write to disk failed.
-    DiskFailed, "disk_failed", 507, Unknown, None, "A write to disk failed";
+    DiskFailed, "disk_failed", 507, Unknown, None, "The disk failed";
     /// The deadline of the request has passed.
     DeadlineExceeded, "deadline_exceeded", 504, Unknown, None, "The deadline passed";
     /// The order carries an outdated fencing token.
-    Fenced, "fenced", 409, No, None, "The order carries an outdated fencing token";
+    Fenced, "fenced", 409, No, None, "The order carries an old fencing number";
 }
 
 /// A failed request: kind of error, whether it ran, and the cause.
