--- a/decision/outcome/src/assembly.rs
+++ b/decision/outcome/src/assembly.rs
@@ -1,9 +1,8 @@
-//! Puts the pieces of a streamed answer in order.
+//! Reorders the pieces of a streamed answer.
 //!
-//! Every piece says which request and which attempt it belongs to and which
-//! position it has. Pieces in order pass at once; early ones wait within a
-//! bounded window. The end carries the total, so an answer is whole or it is
-//! broken, never merely short.
+//! Every piece carries its request, attempt and position. Pieces in order are
+//! delivered immediately; later ones are buffered within a bounded window. The
+//! end carries the total, so a truncated answer is always reported as broken.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,43 +10,43 @@
 use derive_more::Display;
 use pimentotide_model::{RequestId, Time};
 
-/// Pieces that may wait for an earlier one.
-const MAX_WAITING: u64 = 1_024;
-/// Time that a missing piece may take while later ones are here.
-const MAX_GAP: Duration = Duration::from_secs(2);
+/// Maximum distance in tokens of a buffered token from the next one to deliver.
+const REORDER_WINDOW_TOKENS: u64 = 1_024;
+/// Maximum wait for a missing piece while later ones are buffered.
+const GAP_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// One piece of a streamed answer.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Piece<T> {
     /// One token.
     Token {
-        /// Request that it answers.
+        /// Answered request.
         request: RequestId,
-        /// Attempt that made it.
+        /// Attempt that produced the piece.
         attempt: u32,
-        /// Index in the answer.
+        /// Index of the token in the answer, starting at 0.
         position: u64,
-        /// The token.
+        /// Content of the token.
         token: T,
     },
     /// End of the answer.
     End {
-        /// Request that it answers.
+        /// Answered request.
         request: RequestId,
-        /// Attempt that made it.
+        /// Attempt that produced the piece.
         attempt: u32,
-        /// Tokens in the whole answer.
+        /// Number of tokens in the complete answer.
         total: u64,
     },
 }
 
-/// Why an answer cannot become whole.
+/// Why an answer cannot be completed.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Hash)]
 pub enum Fault {
-    /// A piece did not come while later ones did.
+    /// A piece did not arrive in time although later ones did.
     #[display("token {_0} is missing")]
     Missing(u64),
-    /// A piece lies too far ahead.
+    /// A piece is beyond the reorder window.
     #[display("token {_0} lies outside the window")]
     Ahead(u64),
     /// The end contradicts the pieces or another end.
@@ -58,49 +57,49 @@
     Closed(u64),
 }
 
-/// How far an answer has come.
+/// State of an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Progress {
-    /// More is to come.
+    /// Further pieces are expected.
     Open,
-    /// All of it has been delivered.
+    /// All tokens have been delivered.
     Whole,
-    /// It broke off.
+    /// The answer is incomplete.
     Broken(Fault),
 }
 
-/// Answer to one request while it arrives.
+/// Streamed answer to one request.
 #[derive(Clone, Debug, Hash)]
 pub struct Assembly<T> {
     request: RequestId,
     attempt: u32,
     next: u64,
     total: Option<u64>,
-    waiting: BTreeMap<u64, T>,
-    stuck: Option<Time>,
+    buffered: BTreeMap<u64, T>,
+    gap_since: Option<Time>,
     fault: Option<Fault>,
 }
 
 impl<T> Assembly<T> {
-    /// Opens the answer of a request's first attempt.
+    /// Starts an empty answer that accepts pieces of `attempt`.
     pub fn open(request: RequestId, attempt: u32) -> Self {
         Self {
             request,
             attempt,
             next: 0,
             total: None,
-            waiting: BTreeMap::new(),
-            stuck: None,
+            buffered: BTreeMap::new(),
+            gap_since: None,
             fault: None,
         }
     }
 
-    /// Tokens delivered: the position at which a resumed attempt begins.
+    /// Returns the number of tokens delivered, at which a resumed attempt begins.
     pub fn delivered(&self) -> u64 {
         self.next
     }
 
-    /// How far the answer has come.
+    /// Returns the state of the answer.
     pub fn progress(&self) -> Progress {
         if let Some(fault) = self.fault {
             return Progress::Broken(fault);
@@ -112,7 +111,7 @@
         }
     }
 
-    /// Takes in a piece and appends to `out` all that is now in order.
+    /// Accepts a piece and appends the tokens now in order to `out`.
     pub fn push(&mut self, piece: Piece<T>, now: Time, out: &mut Vec<T>) -> Progress {
         if self.progress() != Progress::Open {
             return self.progress();
@@ -123,7 +122,7 @@
                 attempt,
                 position,
                 token,
-            } if self.expects(request, attempt) => self.take(position, token, out),
+            } if self.expects(request, attempt) => self.accept(position, token, out),
             Piece::End {
                 request,
                 attempt,
@@ -131,20 +130,21 @@
             } if self.expects(request, attempt) => self.end(total),
             Piece::Token { .. } | Piece::End { .. } => {}
         }
-        self.watch_gap(now);
+        self.track_gap(now);
         self.progress()
     }
 
-    /// Breaks the answer if a piece has been missing for too long.
+    /// Marks the answer broken if a piece has been missing for too long.
     pub fn tick(&mut self, now: Time) -> Progress {
-        if self.progress() == Progress::Open && self.stuck.is_some_and(|t| now.since(t) >= MAX_GAP)
+        if self.progress() == Progress::Open
+            && self.gap_since.is_some_and(|t| now.since(t) >= GAP_TIMEOUT)
         {
             self.fault = Some(Fault::Missing(self.next));
         }
         self.progress()
     }
 
-    /// Notes that the current attempt sends no more.
+    /// Records that the current attempt sends no further pieces.
     pub fn close(&mut self) -> Progress {
         if self.progress() == Progress::Open {
             self.fault = Some(Fault::Closed(self.next));
@@ -152,18 +152,18 @@
         self.progress()
     }
 
-    /// Goes on with a later attempt that begins at [`Assembly::delivered`].
+    /// Continues with a later attempt that begins at [`Assembly::delivered`].
     ///
-    /// Pieces of earlier attempts are ignored from now on, since two attempts
-    /// need not agree on what follows.
+    /// Pieces of earlier attempts are ignored from then on, since the tokens of
+    /// two attempts may differ.
     pub fn resume(&mut self, attempt: u32) {
         if self.progress() == Progress::Whole || attempt <= self.attempt {
             return;
         }
         self.attempt = attempt;
         self.total = None;
-        self.waiting.clear();
-        self.stuck = None;
+        self.buffered.clear();
+        self.gap_since = None;
         self.fault = None;
     }
 
@@ -171,7 +171,7 @@
         request == self.request && attempt == self.attempt
     }
 
-    fn take(&mut self, position: u64, token: T, out: &mut Vec<T>) {
+    fn accept(&mut self, position: u64, token: T, out: &mut Vec<T>) {
         if position < self.next {
             return;
         }
@@ -179,39 +179,39 @@
             self.fault = Some(Fault::Contradiction(position));
             return;
         }
-        if position - self.next >= MAX_WAITING {
+        if position - self.next >= REORDER_WINDOW_TOKENS {
             self.fault = Some(Fault::Ahead(position));
             return;
         }
         if position > self.next {
-            self.waiting.entry(position).or_insert(token);
+            self.buffered.entry(position).or_insert(token);
             return;
         }
         out.push(token);
         self.next += 1;
-        while let Some(token) = self.waiting.remove(&self.next) {
+        while let Some(token) = self.buffered.remove(&self.next) {
             out.push(token);
             self.next += 1;
         }
-        self.stuck = None;
+        self.gap_since = None;
     }
 
     fn end(&mut self, total: u64) {
         let last = self
-            .waiting
+            .buffered
             .last_key_value()
             .map_or(self.next, |(p, _)| p + 1);
-        if total < last || self.total.is_some_and(|known| known != total) {
+        if total < last || self.total.is_some_and(|total_before| total_before != total) {
             self.fault = Some(Fault::Contradiction(total));
             return;
         }
         self.total = Some(total);
     }
 
-    fn watch_gap(&mut self, now: Time) {
-        let gap = !self.waiting.is_empty() || self.total.is_some_and(|total| total > self.next);
-        if gap && self.stuck.is_none() {
-            self.stuck = Some(now);
+    fn track_gap(&mut self, now: Time) {
+        let gap = !self.buffered.is_empty() || self.total.is_some_and(|total| total > self.next);
+        if gap && self.gap_since.is_none() {
+            self.gap_since = Some(now);
         }
     }
 }
--- a/decision/outcome/src/attempt.rs
+++ b/decision/outcome/src/attempt.rs
@@ -1,10 +1,10 @@
-//! The entry's side of a non-idempotent request: claim, send, inquire, settle.
+//! Entry side of a non-idempotent request: claim, send, inquire, settle.
 //!
 //! One attempt object serves one request of a caller. It sends each claim at
-//! most once, proposes one command at a time, and repeats a proposal whose
-//! answer was lost under the same ticket. "Not run" is told only on the ground
-//! of a committed answer that the key is open, or when the entry made the key
-//! up and so is the only one that can run it.
+//! most once, proposes one command at a time, and retries a proposal whose
+//! reply was lost under the same ticket. A request is reported as not run only
+//! after a committed reply that its key is open, or if the entry generated the
+//! key and is therefore the only one that can run it.
 
 mod message;
 
@@ -19,87 +19,87 @@
 
 pub use message::{Action, Answer, Event, Intent};
 
-/// Pause before the first repetition; doubles with each one.
-const FIRST_PAUSE: Duration = Duration::from_millis(10);
-/// Longest pause between repetitions.
-const MAX_PAUSE: Duration = Duration::from_secs(1);
-/// Repetitions on behalf of nobody who waits.
-const MAX_UNATTENDED: u32 = 8;
-/// Inquiries about a claim of another entry before its agent counts as silent.
-const MAX_FOREIGN: u32 = 5;
+/// Backoff before the first retry; doubles with each retry.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(10);
+/// Maximum backoff between retries.
+const MAX_BACKOFF: Duration = Duration::from_secs(1);
+/// Maximum number of retries while no caller waits.
+const MAX_UNATTENDED_RETRIES: u32 = 8;
+/// Unanswered inquiries about another entry's claim before the request fails.
+const MAX_FOREIGN_INQUIRIES: u32 = 5;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum State {
     Choosing,
     Claiming(Place),
-    Looking(Failure),
+    LookingUp(Failure),
     Sent(ClaimRef, Place),
-    Inquiring(Subject),
+    Inquiring(Inquiry),
     Settling(ClaimRef, Arc<Outcome>),
     Releasing(ClaimRef, NotRun),
-    Losing(ClaimRef, bool),
+    MarkingLost(ClaimRef, bool),
     Closed,
 }
 
-/// Claim that is asked about.
+/// Claim that its agent is queried about.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Subject {
+struct Inquiry {
     held: ClaimRef,
     place: Place,
-    mine: bool,
+    own: bool,
 }
 
-/// Progress of one non-idempotent request at its entry.
+/// State of one non-idempotent request at its entry.
 #[derive(Clone, Debug, Hash)]
 pub struct Attempt {
     intent: Intent,
     state: State,
     attempt: u32,
-    repeats: u32,
-    waiting: bool,
-    late: bool,
+    retries: u32,
+    caller_waiting: bool,
+    timed_out: bool,
 }
 
 impl Attempt {
-    /// Opens the attempt; the caller waits for its answer.
+    /// Starts the first attempt, with a waiting caller.
     pub fn open(intent: Intent) -> (Self, Vec<Action>) {
         let attempt = Self {
             intent,
             state: State::Choosing,
             attempt: 1,
-            repeats: 0,
-            waiting: true,
-            late: false,
+            retries: 0,
+            caller_waiting: true,
+            timed_out: false,
         };
         (attempt, vec![Action::Choose { attempt: 1 }])
     }
 
-    /// Whether nothing is left to do.
+    /// Returns whether the request needs no further action.
     pub fn is_closed(&self) -> bool {
         self.state == State::Closed
     }
 
-    /// Takes in an event; events that do not fit the state change nothing.
+    /// Handles an event; events that do not apply to the state are ignored.
     pub fn on(&mut self, event: Event, now: Time) -> Vec<Action> {
         match (self.state.clone(), event) {
             (State::Closed, _) => Vec::new(),
             (_, Event::CallerGone) => self.caller_gone(),
             (_, Event::DeadlinePassed) => self.deadline_passed(),
             (State::Choosing, Event::Chosen(place)) => self.chosen(place, now),
-            (State::Choosing, Event::NoPlace(failure)) => self.look(failure),
+            (State::Choosing, Event::NoPlace(failure)) => self.look_up(failure),
             (State::Claiming(place), Event::Committed(reply)) => self.claimed(place, reply, now),
             (State::Claiming(_), Event::Unconfirmed) => self.claim_unconfirmed(now),
-            (State::Looking(failure), Event::Committed(reply)) => self.looked(failure, &reply),
-            (State::Looking(failure), Event::Unconfirmed) => self.look_unconfirmed(failure),
+            (State::LookingUp(failure), Event::Committed(reply)) => self.looked_up(failure, &reply),
+            (State::LookingUp(failure), Event::Unconfirmed) => self.lookup_unconfirmed(failure),
             (State::Sent(held, place), event) => self.sent(held, place, event),
-            (State::Inquiring(subject), Event::Found(finding)) => self.found(subject, finding),
-            (State::Inquiring(subject), Event::Unreachable) => self.unreachable(&subject),
-            (State::Inquiring(subject), Event::Gone) => self.lose(subject.held, false),
+            (State::Inquiring(inquiry), Event::Found(finding)) => self.found(inquiry, finding),
+            (State::Inquiring(inquiry), Event::Unreachable) => self.unreachable(&inquiry),
+            (State::Inquiring(inquiry), Event::Gone) => self.mark_lost(inquiry.held, false),
             (State::Settling(_, outcome), Event::Committed(_)) => self.answer_outcome(outcome),
             (State::Releasing(_, reason), Event::Committed(reply)) => self.released(reason, &reply),
-            (State::Losing(..), Event::Committed(reply)) => self.lost(&reply),
+            (State::MarkingLost(..), Event::Committed(reply)) => self.marked_lost(&reply),
             (
-                State::Settling(..) | State::Releasing(..) | State::Losing(..),
+                State::Settling(..) | State::Releasing(..) | State::MarkingLost(..),
                 Event::Unconfirmed,
             ) => self.close_unconfirmed(),
             _ => Vec::new(),
@@ -116,7 +116,7 @@
         match reply {
             Reply::Granted(claim) => {
                 let held = self.held(claim);
-                if self.late || !self.waiting {
+                if self.timed_out || !self.caller_waiting {
                     return self.release(held, NotRun::Refused);
                 }
                 self.enter(State::Sent(held.clone(), place.clone()));
@@ -124,30 +124,30 @@
             }
             Reply::Running { claim, place, .. } => {
                 let held = self.held(claim);
-                let mine = false;
-                self.inquire(Subject { held, place, mine })
+                let own = false;
+                self.inquire(Inquiry { held, place, own })
             }
             Reply::Verdict(Verdict::Wait(pause)) => self.wait_for_trial(&place, pause, now),
-            Reply::Verdict(Verdict::Occupied) => self.wait_for_trial(&place, MAX_PAUSE, now),
+            Reply::Verdict(Verdict::Occupied) => self.wait_for_trial(&place, MAX_BACKOFF, now),
             Reply::Verdict(Verdict::Refused(pause)) => {
                 let detail = "this content crashed two upstreams";
                 let failure = Failure::new(ErrorKind::CrashingRequest, detail);
                 self.fail(failure.with_retry(pause))
             }
             Reply::Full => {
-                let detail = "the workspace has too many keys to remember";
+                let detail = "the journal has no room for another key of this workspace";
                 self.fail(Failure::new(ErrorKind::Overloaded, detail))
             }
-            reply => self.tell(&reply),
+            reply => self.answer_key_state(&reply),
         }
     }
 
     fn wait_for_trial(&mut self, place: &Place, pause: Duration, now: Time) -> Vec<Action> {
-        if !self.waiting {
+        if !self.caller_waiting {
             return self.finish();
         }
-        if self.late || now + pause >= self.intent.deadline {
-            let detail = "no upstream is free to run this content apart";
+        if self.timed_out || now + pause >= self.intent.deadline {
+            let detail = "no upstream is free to run this suspected content alone";
             return self.fail(Failure::new(ErrorKind::NoUpstream, detail).with_retry(pause));
         }
         vec![propose(self.claim_command(place, now), pause)]
@@ -157,36 +157,36 @@
         let State::Claiming(place) = &self.state else {
             return Vec::new();
         };
-        if self.late || !self.waiting {
+        if self.timed_out || !self.caller_waiting {
             let failure = Failure::new(ErrorKind::NoQuorum, "the claim was not confirmed");
-            return self.fail_unproved(failure);
+            return self.fail_unsent(failure);
         }
         let command = self.claim_command(place, now);
-        vec![propose(command, self.pause())]
+        vec![propose(command, self.next_backoff())]
     }
 
-    fn look(&mut self, failure: Failure) -> Vec<Action> {
+    fn look_up(&mut self, failure: Failure) -> Vec<Action> {
         if self.intent.generated {
             return self.fail(failure.with_ran(Ran::No));
         }
-        self.enter(State::Looking(failure));
-        vec![propose(self.look_command(), Duration::ZERO)]
+        self.enter(State::LookingUp(failure));
+        vec![propose(self.lookup_command(), Duration::ZERO)]
     }
 
-    fn looked(&mut self, failure: Failure, reply: &Reply) -> Vec<Action> {
+    fn looked_up(&mut self, failure: Failure, reply: &Reply) -> Vec<Action> {
         match reply {
             Reply::Open => self.fail(failure.with_ran(Ran::No)),
             Reply::Running { .. } => self.still_running(),
-            reply => self.tell(reply),
+            reply => self.answer_key_state(reply),
         }
     }
 
-    fn look_unconfirmed(&mut self, failure: Failure) -> Vec<Action> {
-        if self.late || self.repeats >= MAX_UNATTENDED {
-            return self.fail_unproved(failure);
+    fn lookup_unconfirmed(&mut self, failure: Failure) -> Vec<Action> {
+        if self.timed_out || self.retries >= MAX_UNATTENDED_RETRIES {
+            return self.fail_unsent(failure);
         }
-        let after = self.pause();
-        vec![propose(self.look_command(), after)]
+        let after = self.next_backoff();
+        vec![propose(self.lookup_command(), after)]
     }
 
     fn sent(&mut self, held: ClaimRef, place: Place, event: Event) -> Vec<Action> {
@@ -194,55 +194,55 @@
             Event::Answered(outcome) => self.settle(held, outcome),
             Event::NotRun(reason) => self.release(held, reason),
             Event::Broken => {
-                let mine = true;
-                self.inquire(Subject { held, place, mine })
+                let own = true;
+                self.inquire(Inquiry { held, place, own })
             }
-            Event::Gone => self.lose(held, false),
+            Event::Gone => self.mark_lost(held, false),
             _ => Vec::new(),
         }
     }
 
-    fn inquire(&mut self, subject: Subject) -> Vec<Action> {
+    fn inquire(&mut self, inquiry: Inquiry) -> Vec<Action> {
         let action = Action::Inquire {
-            held: subject.held.clone(),
-            place: subject.place.clone(),
+            held: inquiry.held.clone(),
+            place: inquiry.place.clone(),
             after: Duration::ZERO,
         };
-        self.enter(State::Inquiring(subject));
+        self.enter(State::Inquiring(inquiry));
         vec![action]
     }
 
-    fn found(&mut self, subject: Subject, finding: Finding) -> Vec<Action> {
+    fn found(&mut self, inquiry: Inquiry, finding: Finding) -> Vec<Action> {
         match finding {
-            Finding::Finished(outcome) => self.settle(subject.held, outcome),
-            Finding::NotRun(reason) => self.release(subject.held, reason),
-            Finding::Died => self.lose(subject.held, true),
-            Finding::Lost => self.lose(subject.held, false),
-            Finding::Running if subject.mine => {
-                self.inquire_again(&subject, ErrorKind::StillRunning)
+            Finding::Finished(outcome) => self.settle(inquiry.held, outcome),
+            Finding::NotRun(reason) => self.release(inquiry.held, reason),
+            Finding::Died => self.mark_lost(inquiry.held, true),
+            Finding::Lost => self.mark_lost(inquiry.held, false),
+            Finding::Running if inquiry.own => {
+                self.inquire_again(&inquiry, ErrorKind::StillRunning)
             }
             Finding::Running => self.still_running(),
         }
     }
 
-    fn unreachable(&mut self, subject: &Subject) -> Vec<Action> {
-        if !subject.mine && self.repeats >= MAX_FOREIGN {
-            return self.fail(silent_agent());
+    fn unreachable(&mut self, inquiry: &Inquiry) -> Vec<Action> {
+        if !inquiry.own && self.retries >= MAX_FOREIGN_INQUIRIES {
+            return self.fail(agent_unreachable());
         }
-        self.inquire_again(subject, ErrorKind::OutcomeUnknown)
+        self.inquire_again(inquiry, ErrorKind::OutcomeUnknown)
     }
 
-    fn inquire_again(&mut self, subject: &Subject, kind: ErrorKind) -> Vec<Action> {
-        if !self.waiting && self.repeats >= MAX_UNATTENDED {
+    fn inquire_again(&mut self, inquiry: &Inquiry, kind: ErrorKind) -> Vec<Action> {
+        if !self.caller_waiting && self.retries >= MAX_UNATTENDED_RETRIES {
             return self.finish();
         }
-        if self.late && self.waiting {
+        if self.timed_out && self.caller_waiting {
             return self.fail(Failure::new(kind, "the deadline passed"));
         }
         vec![Action::Inquire {
-            held: subject.held.clone(),
-            place: subject.place.clone(),
-            after: self.pause(),
+            held: inquiry.held.clone(),
+            place: inquiry.place.clone(),
+            after: self.next_backoff(),
         }]
     }
 
@@ -260,124 +260,124 @@
 
     fn released(&mut self, reason: NotRun, reply: &Reply) -> Vec<Action> {
         let kind = match reason {
-            _ if self.late => ErrorKind::DeadlineExceeded,
+            _ if self.timed_out => ErrorKind::DeadlineExceeded,
             NotRun::Refused => ErrorKind::Overloaded,
             NotRun::Barred | NotRun::OtherEpoch | NotRun::OtherIncarnation => ErrorKind::NoUpstream,
         };
-        let failure = Failure::new(kind, "no upstream took the request");
-        self.reopened(reply, failure)
+        let failure = Failure::new(kind, "no upstream accepted the request");
+        self.retry_or_fail(reply, failure)
     }
 
-    fn lose(&mut self, held: ClaimRef, crashed: bool) -> Vec<Action> {
+    fn mark_lost(&mut self, held: ClaimRef, crashed: bool) -> Vec<Action> {
         let command = Command::Lose {
             held: held.clone(),
             crashed,
         };
-        self.enter(State::Losing(held, crashed));
+        self.enter(State::MarkingLost(held, crashed));
         vec![propose(command, Duration::ZERO)]
     }
 
-    fn lost(&mut self, reply: &Reply) -> Vec<Action> {
-        let failure = Failure::new(ErrorKind::NoUpstream, "no upstream took the request");
-        self.reopened(reply, failure)
+    fn marked_lost(&mut self, reply: &Reply) -> Vec<Action> {
+        let failure = Failure::new(ErrorKind::NoUpstream, "no upstream accepted the request");
+        self.retry_or_fail(reply, failure)
     }
 
-    /// Tries again if the key came free, or says what it stands for.
-    fn reopened(&mut self, reply: &Reply, failure: Failure) -> Vec<Action> {
-        let proved = match reply {
+    /// Makes another attempt if the key is open again, otherwise reports its state.
+    fn retry_or_fail(&mut self, reply: &Reply, failure: Failure) -> Vec<Action> {
+        let not_run = match reply {
             Reply::Open => true,
             Reply::Superseded => false,
-            reply => return self.tell(reply),
+            reply => return self.answer_key_state(reply),
         };
-        if self.waiting && !self.late && self.attempt < self.intent.attempts {
+        if self.caller_waiting && !self.timed_out && self.attempt < self.intent.attempts {
             self.attempt += 1;
             self.enter(State::Choosing);
             let attempt = self.attempt;
             return vec![Action::Choose { attempt }];
         }
-        if proved {
+        if not_run {
             self.fail(failure.with_ran(Ran::No))
         } else {
             self.fail(failure.with_ran(Ran::Unknown))
         }
     }
 
-    /// Repeats a proposal that closes a claim.
+    /// Retries a proposal that closes a claim.
     fn close_unconfirmed(&mut self) -> Vec<Action> {
-        if !self.waiting && self.repeats >= MAX_UNATTENDED {
+        if !self.caller_waiting && self.retries >= MAX_UNATTENDED_RETRIES {
             return self.finish();
         }
         let command = match &self.state {
             State::Settling(held, outcome) => self.settle_command(held, outcome),
             State::Releasing(held, _) => Command::Release(held.clone()),
-            State::Losing(held, crashed) => Command::Lose {
+            State::MarkingLost(held, crashed) => Command::Lose {
                 held: held.clone(),
                 crashed: *crashed,
             },
             _ => return Vec::new(),
         };
-        vec![propose(command, self.pause())]
+        vec![propose(command, self.next_backoff())]
     }
 
     fn caller_gone(&mut self) -> Vec<Action> {
-        self.waiting = false;
+        self.caller_waiting = false;
         match self.state {
-            State::Choosing | State::Looking(_) => self.finish(),
+            State::Choosing | State::LookingUp(_) => self.finish(),
             _ => Vec::new(),
         }
     }
 
     fn deadline_passed(&mut self) -> Vec<Action> {
-        if self.late {
+        if self.timed_out {
             return Vec::new();
         }
-        self.late = true;
+        self.timed_out = true;
         let failure = Failure::new(ErrorKind::DeadlineExceeded, "the deadline passed");
         match self.state.clone() {
-            State::Choosing => self.look(failure),
-            State::Sent(..) | State::Losing(..) => self.answer_early(Answer::Failure(failure)),
+            State::Choosing => self.look_up(failure),
+            State::Sent(..) | State::MarkingLost(..) => self.answer_early(Answer::Failure(failure)),
             State::Releasing(..) => {
-                let failure = self.unproved(failure);
+                let failure = self.mark_unsent(failure);
                 self.answer_early(Answer::Failure(failure))
             }
             State::Settling(_, outcome) => self.answer_early(Answer::Outcome(outcome)),
             State::Inquiring(_) => self.fail(failure),
-            State::Claiming(_) | State::Looking(_) | State::Closed => Vec::new(),
+            State::Claiming(_) | State::LookingUp(_) | State::Closed => Vec::new(),
         }
     }
 
-    /// Tells the caller what its key stands for.
-    fn tell(&mut self, reply: &Reply) -> Vec<Action> {
+    /// Answers the caller from the state of its key.
+    fn answer_key_state(&mut self, reply: &Reply) -> Vec<Action> {
         match reply {
-            Reply::Recorded(outcome) => self.repeat(outcome),
-            Reply::Spent => self.fail(unrepeatable("it ran; its answer is no longer kept")),
+            Reply::Recorded(outcome) => self.replay(outcome),
+            Reply::Spent => self.fail(not_replayable("the request ran; its answer expired")),
             Reply::Unknown => {
-                let detail = "nobody can tell whether the request ran; it will not run again";
+                let detail = "whether the request ran is unknown; it will not run again";
                 self.fail(Failure::new(ErrorKind::OutcomeUnknown, detail))
             }
             Reply::Mismatch => {
-                let detail = "the key belongs to a request with other content";
+                let detail = "the key was used for a request with other content";
                 self.fail(Failure::new(ErrorKind::KeyMismatch, detail))
             }
             Reply::Running { .. } => self.still_running(),
             reply => {
-                let detail = format!("unexpected reply {reply:?}");
+                let detail = format!("unexpected journal reply {reply:?}");
                 self.fail(Failure::new(ErrorKind::Internal, detail))
             }
         }
     }
 
-    /// Repeats a recorded answer, if all of it was recorded.
-    fn repeat(&mut self, outcome: &Arc<Outcome>) -> Vec<Action> {
+    /// Replays a recorded answer if it was stored in full.
+    fn replay(&mut self, outcome: &Arc<Outcome>) -> Vec<Action> {
         let status = outcome.status;
         let detail = match &outcome.body {
             Body::Whole(_) => return self.answer_outcome(Arc::clone(outcome)),
             Body::Digest { bytes, .. } => {
-                format!("it ran with status {status}; {bytes} bytes are too many to repeat")
+                format!("the request ran with status {status}; {bytes} bytes were not stored")
             }
-            Body::Omitted => format!("it ran with status {status}; its answer is not kept"),
+            Body::Omitted => format!("the request ran with status {status}; no answer is stored"),
         };
-        self.fail(unrepeatable(&detail))
+        self.fail(not_replayable(&detail))
     }
 
     fn still_running(&mut self) -> Vec<Action> {
@@ -393,13 +393,13 @@
         self.answer_and_finish(Answer::Failure(failure))
     }
 
-    fn fail_unproved(&mut self, failure: Failure) -> Vec<Action> {
-        let failure = self.unproved(failure);
+    fn fail_unsent(&mut self, failure: Failure) -> Vec<Action> {
+        let failure = self.mark_unsent(failure);
         self.fail(failure)
     }
 
-    /// Says "not run" of an unsent request only if no other entry can run it.
-    fn unproved(&self, failure: Failure) -> Failure {
+    /// Reports an unsent request as not run only if no other entry can run it.
+    fn mark_unsent(&self, failure: Failure) -> Failure {
         let ran = if self.intent.generated {
             Ran::No
         } else {
@@ -415,10 +415,10 @@
     }
 
     fn answer_early(&mut self, answer: Answer) -> Vec<Action> {
-        if !self.waiting {
+        if !self.caller_waiting {
             return Vec::new();
         }
-        self.waiting = false;
+        self.caller_waiting = false;
         vec![Action::Answer(answer)]
     }
 
@@ -429,13 +429,13 @@
 
     fn enter(&mut self, state: State) {
         self.state = state;
-        self.repeats = 0;
+        self.retries = 0;
     }
 
-    fn pause(&mut self) -> Duration {
-        let pause = FIRST_PAUSE * (1 << self.repeats.min(7));
-        self.repeats += 1;
-        pause.min(MAX_PAUSE)
+    fn next_backoff(&mut self) -> Duration {
+        let backoff = INITIAL_BACKOFF * (1 << self.retries.min(7));
+        self.retries += 1;
+        backoff.min(MAX_BACKOFF)
     }
 
     fn held(&self, claim: ClaimId) -> ClaimRef {
@@ -475,7 +475,7 @@
         }
     }
 
-    fn look_command(&self) -> Command {
+    fn lookup_command(&self) -> Command {
         Command::Look {
             workspace: self.intent.workspace.clone(),
             key: self.intent.key.clone(),
@@ -489,11 +489,11 @@
     Action::Propose { command, after }
 }
 
-fn silent_agent() -> Failure {
-    let detail = "the agent that may have run the request does not answer; ask again";
-    Failure::new(ErrorKind::OutcomeUnknown, detail).with_retry(MAX_PAUSE)
+fn agent_unreachable() -> Failure {
+    let detail = "the agent that may have run the request is unreachable; retry";
+    Failure::new(ErrorKind::OutcomeUnknown, detail).with_retry(MAX_BACKOFF)
 }
 
-fn unrepeatable(detail: &str) -> Failure {
+fn not_replayable(detail: &str) -> Failure {
     Failure::new(ErrorKind::OutcomeUnknown, detail).with_ran(Ran::Yes)
 }
--- a/decision/outcome/src/attempt/message.rs
+++ b/decision/outcome/src/attempt/message.rs
@@ -1,4 +1,4 @@
-//! What an attempt is told and what it has the shell carry out.
+//! Events that drive an attempt and actions that it requests.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,98 +9,100 @@
 
 use crate::{ClaimRef, Command, Finding, NotRun, Outcome, Place, Reply};
 
-/// What a caller wants done once.
+/// Non-idempotent request of a caller.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Intent {
-    /// Identifier of the request, unique in the deployment.
+    /// Identifier of the request, unique within the deployment.
     pub request: RequestId,
     /// Workspace of the key.
     pub workspace: WorkspaceName,
-    /// Service that is asked.
+    /// Requested service.
     pub service: ServiceName,
-    /// Key of the request.
-    pub key: IdempotencyKey,
-    /// Whether the entry made the key up.
+    /// Idempotency key of the request.
+    pub key: IdemKey,
+    /// Whether the entry generated the key.
     pub generated: bool,
-    /// Digest of the content.
+    /// Digest of the request content.
     pub fingerprint: Fingerprint,
-    /// Most claims that it makes.
+    /// Maximum number of claims made for the request.
     pub attempts: u32,
-    /// Time by which it must be answered.
+    /// Time by which the request must be answered.
     pub deadline: Time,
 }
 
-/// What the shell tells the attempt.
+/// Input to an attempt.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Event {
     /// An upstream was chosen.
     Chosen(Place),
-    /// No upstream can be chosen.
+    /// No upstream is available.
     NoPlace(Failure),
-    /// The proposal was committed, with this reply.
+    /// The proposal was committed and the journal replied.
     Committed(Reply),
     /// The proposal may or may not have been committed.
     Unconfirmed,
-    /// The agent returned the whole answer.
+    /// The agent returned the complete answer.
     Answered(Arc<Outcome>),
-    /// The agent returned its true refusal of this send.
+    /// The agent reported that this send did not run and never will.
     NotRun(NotRun),
-    /// The connection of the send broke, or the agent knows no answer.
+    /// The connection of the send broke, or the agent has no answer.
     Broken,
-    /// The agent answered the inquiry.
+    /// The agent replied to the inquiry.
     Found(Finding),
-    /// The agent did not answer the inquiry.
+    /// The agent did not reply to the inquiry.
     Unreachable,
-    /// The directory says that the agent or its memory is gone for good.
+    /// The directory reports the agent or its ledger as permanently lost.
     Gone,
-    /// The caller went away.
+    /// The caller disconnected.
     CallerGone,
     /// The deadline of the request passed.
     DeadlinePassed,
 }
 
-/// What the shell carries out.
+/// Action for the caller of [`Attempt::on`] to carry out.
+///
+/// [`Attempt::on`]: crate::Attempt::on
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Action {
     /// Choose an upstream for this attempt.
     Choose {
-        /// Attempt, from 1.
+        /// Number of the attempt, starting at 1.
         attempt: u32,
     },
-    /// Propose a command after a pause, and tell what came of it.
+    /// Propose a command after a delay and report the result.
     Propose {
         /// Command to replicate.
         command: Box<Command>,
-        /// Pause before it.
+        /// Delay before the action.
         after: Duration,
     },
-    /// Send the request to the agent, once.
+    /// Send the request to the agent exactly once.
     Send {
-        /// Claim that it runs under.
+        /// Claim under which the request runs.
         held: ClaimRef,
-        /// Where it runs.
+        /// Where the request runs.
         place: Place,
     },
-    /// Ask the agent about the claim after a pause.
+    /// Query the agent about the claim after a delay.
     Inquire {
         /// Claim in question.
         held: ClaimRef,
-        /// Where it was to run.
+        /// Where the claim was to run.
         place: Place,
-        /// Pause before it.
+        /// Delay before the action.
         after: Duration,
     },
     /// Answer the caller.
     Answer(Answer),
-    /// Nothing is left to do.
+    /// Drop the attempt; no further action follows.
     Finish,
 }
 
-/// What the caller is told.
+/// Answer to the caller.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Answer {
-    /// The answer of the one run.
+    /// Answer of the only run.
     Outcome(Arc<Outcome>),
-    /// A failure with the truth about having run.
+    /// Failure that states whether the request ran.
     Failure(Failure),
 }
--- a/decision/outcome/src/blob.rs
+++ b/decision/outcome/src/blob.rs
@@ -1,4 +1,4 @@
-//! Bytes that serialize compactly in binary formats and as hex in text ones.
+//! Bytes that serialize compactly in binary formats and as hex in text formats.
 
 use std::fmt;
 
--- a/decision/outcome/src/cancel.rs
+++ b/decision/outcome/src/cancel.rs
@@ -1,28 +1,28 @@
-//! What becomes of work whose caller goes away or whose content is suspected.
+//! Decides about work whose caller disconnects or whose content is suspected.
 
-/// What is known of the work whose caller went away.
+/// State of the work to decide about.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Work {
-    /// Whether it may run more than once.
+    /// Whether the work may run more than once.
     pub idempotent: bool,
-    /// Whether it has been sent to an upstream.
+    /// Whether the work has been sent to an upstream.
     pub sent: bool,
-    /// Other callers that wait for the same work.
+    /// Number of other callers that wait for the same work.
     pub waiting: u32,
 }
 
-/// What to do with the work.
+/// What happens to the work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum CancelPlan {
-    /// Take it out of the queue: it has not run.
+    /// Remove it from the queue; it has not run.
     Drop,
-    /// Tell the engine to stop.
+    /// Cancel it at the engine.
     Stop,
-    /// Let it run to its end.
+    /// Let it run to completion.
     Finish,
 }
 
-/// Decides about work whose caller went away or whose deadline passed.
+/// Decides about work whose caller disconnected or whose deadline passed.
 pub fn on_caller_gone(work: Work) -> CancelPlan {
     if work.waiting > 0 {
         return CancelPlan::Finish;
@@ -37,10 +37,10 @@
     }
 }
 
-/// Decides about work in flight whose content has come under suspicion.
+/// Decides about work in flight whose content is suspected of a crash.
 ///
-/// A copy that was not admitted after the crash is stopped, so that it does
-/// not crash another upstream, and asks for admission before it runs again.
+/// A copy that was not admitted after the crash is stopped before it crashes
+/// another upstream, and needs admission before it runs again.
 pub fn on_suspicion(work: Work, admitted: bool) -> CancelPlan {
     if admitted {
         return CancelPlan::Finish;
--- a/decision/outcome/src/claim.rs
+++ b/decision/outcome/src/claim.rs
@@ -1,4 +1,4 @@
-//! What a claim names and what a finished request leaves behind.
+//! Claims on non-idempotent requests and the recorded outcomes.
 
 use std::time::Duration;
 
@@ -11,13 +11,13 @@
 
 use crate::Blob;
 
-/// Largest answer, headers and body together, that is recorded whole.
+/// Maximum size of headers and body together of an answer that is stored in full.
 pub const MAX_RECORDED_BYTES: u64 = 128 << 10;
 
-/// Longest key of a request, bytes.
+/// Maximum length of an idempotency key.
 pub const MAX_KEY_BYTES: usize = 128;
 
-/// Start of an agent's memory of claims: two memories never share a number.
+/// Epoch of an agent's ledger; two ledgers of an agent never share one.
 #[derive(
     Clone,
     Copy,
@@ -37,89 +37,89 @@
 #[serde(transparent)]
 pub struct LedgerEpoch(pub u64);
 
-/// Where a claim may run: one start of an upstream, one memory of its agent.
+/// Where a claim may run: one incarnation of an upstream under one ledger epoch.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Place {
-    /// Upstream.
+    /// Upstream that runs the claim.
     pub upstream: UpstreamName,
-    /// Start of the upstream.
+    /// Incarnation of the upstream.
     pub incarnation: Incarnation,
-    /// Memory of the agent.
+    /// Epoch of the agent's ledger.
     pub epoch: LedgerEpoch,
 }
 
-/// Identifies a proposal, the same when it is proposed again.
+/// Identifies a proposal; a retried proposal keeps its ticket.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Ticket {
-    /// Request at the entry.
+    /// Request as identified by its entry.
     pub request: RequestId,
-    /// Attempt of that request, from 1.
+    /// Number of the attempt, starting at 1.
     pub attempt: u32,
 }
 
-/// Asks for the right to run one non-idempotent request in one place.
+/// Request for the right to run one non-idempotent request in one place.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Claim {
     /// Identifies this proposal.
     pub ticket: Ticket,
     /// Workspace that the key belongs to.
     pub workspace: WorkspaceName,
-    /// Service that is asked.
+    /// Requested service.
     pub service: ServiceName,
-    /// Key of the request.
-    pub key: IdempotencyKey,
-    /// Whether the entry made the key up.
+    /// Idempotency key of the request.
+    pub key: IdemKey,
+    /// Whether the entry generated the key.
     pub generated: bool,
-    /// Digest of the content.
+    /// Digest of the request content.
     pub fingerprint: Fingerprint,
-    /// Where it will run.
+    /// Where the request will run.
     pub place: Place,
-    /// Time that it may take from the commit on.
+    /// Maximum run time, counted from the commit.
     pub allowed: Duration,
 }
 
-/// A granted claim together with the key that it stands for.
+/// A granted claim together with its key.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ClaimRef {
     /// Workspace of the key.
     pub workspace: WorkspaceName,
-    /// Key of the request.
-    pub key: IdempotencyKey,
-    /// Claim.
+    /// Idempotency key of the request.
+    pub key: IdemKey,
+    /// Number of the claim, assigned by the journal.
     pub claim: ClaimId,
 }
 
 /// Body of a recorded answer.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Body {
-    /// All of it.
+    /// The complete body.
     Whole(Blob),
-    /// Too large to repeat.
+    /// Digest of a body too large to store.
     Digest {
-        /// Length of the body.
+        /// Length of the body in bytes.
         bytes: u64,
         /// BLAKE3 digest of the body.
         digest: [u8; 32],
     },
-    /// Left out, since nobody can ask for it again.
+    /// Not stored: no retry can present a generated key.
     Omitted,
 }
 
-/// Answer of a request that ran to its end.
+/// Answer of a request that ran to completion.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Outcome {
-    /// HTTP status.
+    /// HTTP status code.
     pub status: u16,
-    /// Headers, in order.
+    /// Header names and values in order; empty if the body was reduced.
     pub headers: Vec<(String, String)>,
-    /// Body.
+    /// Body, or what replaces it in the record.
     pub body: Body,
 }
 
 impl Outcome {
-    /// Bytes that it occupies in a record.
+    /// Returns the size in bytes that it takes up in a record.
     pub fn size(&self) -> u64 {
         let headers: usize = self.headers.iter().map(|(n, v)| n.len() + v.len()).sum();
         let body = match &self.body {
@@ -129,7 +129,8 @@
         (headers + body) as u64
     }
 
-    /// Returns what is recorded of it: all, or a digest if it is too large.
+    /// Returns the form to record: complete, or with a digest if it exceeds
+    /// [`MAX_RECORDED_BYTES`].
     #[must_use]
     pub fn bounded(&self) -> Self {
         if self.size() <= MAX_RECORDED_BYTES {
@@ -149,7 +150,7 @@
         }
     }
 
-    /// Returns what is recorded of it under a key that an entry made up.
+    /// Returns the form to record under a generated key, without headers and body.
     #[must_use]
     pub fn omitted(&self) -> Self {
         Self {
@@ -160,7 +161,7 @@
     }
 }
 
-/// Makes up the key of a request that came without one.
-pub fn generated_key(request: RequestId) -> IdempotencyKey {
-    IdempotencyKey::from(format!("generated-{request}"))
+/// Generates the key of a request that was received without one.
+pub fn generated_key(request: RequestId) -> IdemKey {
+    IdemKey::from(format!("generated-{request}"))
 }
--- a/decision/outcome/src/journal.rs
+++ b/decision/outcome/src/journal.rs
@@ -1,8 +1,8 @@
-//! Replicated journal of claims: one state machine, equal on every replica.
+//! Replicated journal of claims, a deterministic state machine.
 //!
-//! Commands name a claim together with its key, so that the journal needs no
-//! index from claims to keys. Applying a command twice gives the answer of the
-//! first time or the state that has been reached since.
+//! Commands name a claim together with its key, so the journal needs no index
+//! from claims to keys. Applying a command again returns the first reply or the
+//! state reached since.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -11,109 +11,109 @@
 use pimentotide_model::{ClaimId, Fingerprint, IdempotencyKey, Time, UpstreamName, WorkspaceName};
 use serde::{Deserialize, Serialize};
 
-use crate::window::{Held, Phase, Record, Window};
+use crate::window::{KeyState, Phase, Record, Window};
 use crate::{
     Claim, ClaimRef, Crash, Limits, MAX_KEY_BYTES, Outcome, Place, Suspicion, Ticket, Verdict,
     Witness,
 };
 
-/// Pause of a suspected content while a claim of the same content runs.
-const TWIN_PAUSE: Duration = Duration::from_secs(1);
+/// Retry delay of a suspected content while a claim of the same content runs.
+const DUPLICATE_RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// Time between two sweeps of what is past its window.
+/// Interval between two sweeps of expired entries.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Change to the journal of claims, replicated before it takes effect.
+/// Command to the journal, replicated before it is applied.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Command {
-    /// Asks for the right to run a request, or for what its key stands for.
+    /// Requests a claim, or the state of its key if that is not open.
     Claim(Claim),
-    /// Asks what a key stands for, and claims nothing.
+    /// Returns the state of a key without making a claim.
     Look {
-        /// Workspace of the key.
+        /// Workspace that the key belongs to.
         workspace: WorkspaceName,
-        /// Key of the request.
-        key: IdempotencyKey,
-        /// Digest of the content.
+        /// Idempotency key of the request.
+        key: IdemKey,
+        /// Digest of the request content.
         fingerprint: Fingerprint,
     },
-    /// Gives back a claim that is proved not to have run and never to run.
+    /// Releases a claim that provably did not run and never will.
     Release(ClaimRef),
-    /// Records the answer of a claim that ran to its end.
+    /// Records the answer of a claim that ran to completion.
     Settle {
         /// Claim that ran.
         held: ClaimRef,
-        /// Its answer, bounded.
+        /// Answer in the form to record.
         outcome: Arc<Outcome>,
     },
-    /// Records that nobody can tell whether a claim ran.
+    /// Records that it is unknown whether a claim ran.
     Lose {
-        /// Claim that is lost.
+        /// Claim with the unknown outcome.
         held: ClaimRef,
-        /// Whether the agent saw the upstream die while it ran the claim.
+        /// Whether the agent observed the upstream crash while it ran the claim.
         crashed: bool,
     },
-    /// Reports the death of an upstream.
+    /// Reports the crash of an upstream.
     Crash(Crash),
-    /// Asks whether an idempotent request under suspicion may run.
+    /// Requests admission of an idempotent request with a suspected content.
     Trial {
-        /// Digest of the content.
+        /// Digest of the request content.
         content: Fingerprint,
-        /// Identifies the asking attempt.
+        /// Identifies the attempt that requests admission.
         ticket: Ticket,
-        /// Upstream on which it would run.
+        /// Upstream on which the attempt would run.
         upstream: UpstreamName,
-        /// Time that the attempt may take.
+        /// Maximum run time of the attempt.
         allowed: Duration,
     },
-    /// Ends the trial of an idempotent request that did not crash.
+    /// Ends the trial of an idempotent request that did not crash its upstream.
     EndTrial {
-        /// Digest of the content.
+        /// Digest of the request content.
         content: Fingerprint,
         /// Identifies the attempt.
         ticket: Ticket,
-        /// Whether it ran to its end, which clears the content.
+        /// Whether the attempt ran to completion, which clears the content.
         finished: bool,
     },
-    /// Drops what is past its window; other commands do so once a second.
+    /// Removes expired entries; other commands do so once a second.
     Expire,
 }
 
-/// Answer to a command.
+/// Reply to a command.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Reply {
-    /// Nothing to tell.
+    /// The command was applied and returns no value.
     Done,
-    /// The claim may run once, in its place.
+    /// The claim may run once, in the place that it names.
     Granted(ClaimId),
-    /// The key has no claim, and no request with it has run.
+    /// The key has no claim, and no request with this key has run.
     Open,
-    /// The claim was released before, and the key was claimed anew since.
+    /// The claim was released earlier, and the key has a newer claim.
     Superseded,
-    /// The key's request ran to its end.
+    /// The key's request ran to completion.
     Recorded(Arc<Outcome>),
     /// The key's request has a claim that is not closed.
     Running {
-        /// Its claim.
+        /// Open claim of the key.
         claim: ClaimId,
         /// When it was granted.
         since: Time,
-        /// Where it may run.
+        /// Where the claim may run.
         place: Place,
     },
-    /// Nobody can tell whether the key's request ran.
+    /// It is unknown whether the key's request ran.
     Unknown,
-    /// The key's request ran to its end; its answer is no longer kept.
+    /// The key's request ran to completion; its answer is no longer stored.
     Spent,
-    /// The key belongs to a request with other content.
+    /// The key was used for a request with other content.
     Mismatch,
-    /// The workspace has no room for another key; nothing ran.
+    /// A limit on workspaces, keys or claims is reached; nothing ran.
     Full,
-    /// How a content under suspicion may run.
+    /// Decision on a suspected content.
     Verdict(Verdict),
 }
 
-/// Claims and outcomes of non-idempotent requests, equal on every replica.
+/// Claims and outcomes of non-idempotent requests, identical on every replica.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Journal {
     limits: Limits,
@@ -124,7 +124,7 @@
 }
 
 impl Journal {
-    /// Builds an empty journal with other bounds.
+    /// Returns an empty journal with the given limits.
     pub fn with_limits(limits: Limits) -> Self {
         Self {
             limits,
@@ -132,7 +132,7 @@
         }
     }
 
-    /// Applies one committed command; `at` never goes back.
+    /// Applies one committed command; `at` must not decrease between calls.
     pub fn apply(&mut self, command: &Command, at: Time) -> Reply {
         if at.since(self.swept) >= SWEEP_INTERVAL {
             self.expire(at);
@@ -143,7 +143,7 @@
                 workspace,
                 key,
                 fingerprint,
-            } => self.look(workspace, key, *fingerprint),
+            } => self.look_up(workspace, key, *fingerprint),
             Command::Release(held) => self.release(held),
             Command::Settle { held, outcome } => self.settle(held, outcome, at),
             Command::Lose { held, crashed } => self.lose(held, *crashed, at),
@@ -169,35 +169,35 @@
         }
     }
 
-    /// Returns the contents under suspicion, for entries to keep a copy.
+    /// Returns the suspected contents, of which entries hold a copy.
     pub fn suspicion(&self) -> &Suspicion {
         &self.suspicion
     }
 
-    /// Keys remembered in all workspaces.
+    /// Returns the number of keys stored for all workspaces, tombstones included.
     pub fn len(&self) -> usize {
         self.windows.values().map(Window::len).sum()
     }
 
-    /// Whether no key is remembered.
+    /// Returns whether no key is stored.
     pub fn is_empty(&self) -> bool {
         self.windows.is_empty()
     }
 
     fn claim(&mut self, claim: &Claim, at: Time) -> Reply {
-        if let Some(granted) = self.own_claim(claim) {
+        if let Some(granted) = self.granted_claim(claim) {
             return Reply::Granted(granted);
         }
-        match self.look(&claim.workspace, &claim.key, claim.fingerprint) {
+        match self.look_up(&claim.workspace, &claim.key, claim.fingerprint) {
             Reply::Open => self.grant(claim, at),
-            held => held,
+            reply => reply,
         }
     }
 
-    /// Finds the running claim that an earlier copy of this proposal made.
-    fn own_claim(&self, claim: &Claim) -> Option<ClaimId> {
+    /// Returns the running claim granted to an earlier copy of this proposal.
+    fn granted_claim(&self, claim: &Claim) -> Option<ClaimId> {
         match self.windows.get(&claim.workspace)?.get(&claim.key) {
-            Held::Record(r) if r.phase == Phase::Running && r.ticket == claim.ticket => {
+            KeyState::Record(r) if r.phase == Phase::Running && r.ticket == claim.ticket => {
                 Some(r.claim)
             }
             _ => None,
@@ -221,7 +221,7 @@
         Reply::Granted(self.last)
     }
 
-    /// Admits a content; a suspect waits for running claims of the same content.
+    /// Admits a content; a suspected one waits for running claims of the same content.
     fn admit(
         &mut self,
         content: Fingerprint,
@@ -231,8 +231,13 @@
         at: Time,
     ) -> Verdict {
         let verdict = self.suspicion.verdict(content, ticket, upstream, at);
-        if verdict == Verdict::Apart && self.windows.values().any(|w| w.runs(content, ticket)) {
-            return Verdict::Wait(TWIN_PAUSE);
+        if verdict == Verdict::Apart
+            && self
+                .windows
+                .values()
+                .any(|w| w.has_running(content, ticket))
+        {
+            return Verdict::Wait(DUPLICATE_RETRY_DELAY);
         }
         self.suspicion.admit(content, ticket, upstream, allowed, at)
     }
@@ -261,31 +266,31 @@
         }
     }
 
-    fn look(&self, workspace: &WorkspaceName, key: &IdempotencyKey, content: Fingerprint) -> Reply {
+    fn look_up(&self, workspace: &WorkspaceName, key: &IdemKey, content: Fingerprint) -> Reply {
         let Some(window) = self.windows.get(workspace) else {
             return Reply::Open;
         };
         match window.get(key) {
-            Held::Nothing => Reply::Open,
-            Held::Record(r) if r.fingerprint != content => Reply::Mismatch,
-            Held::Record(r) => describe(r),
-            Held::Tombstone(t) if !t.matches(content) => Reply::Mismatch,
-            Held::Tombstone(t) if t.finished => Reply::Spent,
-            Held::Tombstone(_) => Reply::Unknown,
+            KeyState::Absent => Reply::Open,
+            KeyState::Record(r) if r.fingerprint != content => Reply::Mismatch,
+            KeyState::Record(r) => reply_from(r),
+            KeyState::Tombstone(t) if !t.matches(content) => Reply::Mismatch,
+            KeyState::Tombstone(t) if t.finished => Reply::Spent,
+            KeyState::Tombstone(_) => Reply::Unknown,
         }
     }
 
-    /// Finds the record of a claim, or says what its key stands for instead.
+    /// Returns the record of a claim, or the state of its key if it has none.
     fn find(&self, held: &ClaimRef) -> Result<Record, Reply> {
         let Some(window) = self.windows.get(&held.workspace) else {
             return Err(Reply::Open);
         };
         match window.get(&held.key) {
-            Held::Nothing => Err(Reply::Open),
-            Held::Record(r) if r.claim != held.claim => Err(Reply::Superseded),
-            Held::Record(r) => Ok(r.clone()),
-            Held::Tombstone(t) if t.finished => Err(Reply::Spent),
-            Held::Tombstone(_) => Err(Reply::Unknown),
+            KeyState::Absent => Err(Reply::Open),
+            KeyState::Record(r) if r.claim != held.claim => Err(Reply::Superseded),
+            KeyState::Record(r) => Ok(r.clone()),
+            KeyState::Tombstone(t) if t.finished => Err(Reply::Spent),
+            KeyState::Tombstone(_) => Err(Reply::Unknown),
         }
     }
 
@@ -295,7 +300,7 @@
             Err(reply) => return reply,
         };
         if record.phase != Phase::Running {
-            return describe(&record);
+            return reply_from(&record);
         }
         self.suspicion
             .end_trial(record.fingerprint, record.ticket, false);
@@ -324,16 +329,16 @@
             Err(reply) => return reply,
         };
         if record.phase != Phase::Running {
-            return describe(&record);
+            return reply_from(&record);
         }
         if crashed {
-            self.strike(&record, at);
+            self.report_crash(&record, at);
         }
         self.close(held, Phase::Unknown, at);
         Reply::Unknown
     }
 
-    fn strike(&mut self, record: &Record, at: Time) {
+    fn report_crash(&mut self, record: &Record, at: Time) {
         let crash = Crash {
             upstream: record.place.upstream.clone(),
             incarnation: record.place.incarnation,
@@ -361,7 +366,7 @@
     }
 }
 
-fn describe(record: &Record) -> Reply {
+fn reply_from(record: &Record) -> Reply {
     match &record.phase {
         Phase::Running => Reply::Running {
             claim: record.claim,
--- a/decision/outcome/src/ledger.rs
+++ b/decision/outcome/src/ledger.rs
@@ -1,9 +1,9 @@
-//! The agent's memory of claims: each runs at most once.
+//! Agent ledger, which runs each claim at most once.
 //!
-//! Claims that the ledger forgets are remembered together by a floor: claim
-//! numbers only rise, so a claim at or below the floor that is not listed may
-//! have run, and is neither run nor called "not run". The whole memory has an
-//! epoch, and a claim made for another epoch is answered the same way.
+//! Evicted claims are covered by a floor. Claim numbers only increase, so an
+//! unlisted claim at or below the floor may have run; it is neither run nor
+//! reported as not run. The ledger has an epoch. A claim made for another epoch
+//! is never run, and an inquiry about it is answered as lost.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -14,14 +14,14 @@
 
 use crate::{LedgerEpoch, Outcome, Place};
 
-/// Bounds of an agent's memory.
+/// Limits of an agent's ledger.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct LedgerLimits {
-    /// Closed claims remembered.
+    /// Maximum number of closed claims.
     pub closed: usize,
-    /// Bytes of answers remembered.
+    /// Maximum size of the stored answers in bytes.
     pub bytes: u64,
-    /// Time for which a closed claim is remembered.
+    /// Time after which a closed claim is evicted.
     pub age: Duration,
 }
 
@@ -38,61 +38,61 @@
 /// Why a claim did not run and never will.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum NotRun {
-    /// Another entry asked about it first.
+    /// An inquiry about the claim arrived before the claim itself.
     Barred,
-    /// It was made for another memory of this agent.
+    /// The claim was made for another ledger epoch of this agent.
     OtherEpoch,
-    /// It was made for another start of the upstream.
+    /// The claim was made for another incarnation of the upstream.
     OtherIncarnation,
-    /// The agent or the upstream did not take it.
+    /// The agent or the upstream rejected the claim.
     Refused,
 }
 
-/// What to do with a claim that arrives to be run.
+/// Decision on a claim received for execution.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Begin {
-    /// Run it now.
+    /// The claim runs now.
     Run,
-    /// It did not run, and this arrival does not run.
+    /// The claim did not run and does not run now.
     NotRun(NotRun),
-    /// It is running already.
+    /// The claim is already running.
     Running,
-    /// It ran to its end.
+    /// The claim ran to completion.
     Finished(Arc<Outcome>),
-    /// It may have run.
+    /// The claim may have run.
     Lost,
 }
 
 /// How a run ended.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Conclusion {
-    /// With an answer.
+    /// Completed with an answer.
     Finished(Arc<Outcome>),
-    /// Before anything was sent to the upstream, or with its true refusal.
+    /// Rejected by the upstream, or ended before anything was sent to it.
     Refused,
-    /// With the death of the upstream.
+    /// Ended by a crash of the upstream.
     Died,
-    /// Without any sign from the upstream.
+    /// Ended without any reply from the upstream.
     Lost,
 }
 
-/// Answer to an inquiry about a claim.
+/// Reply to an inquiry about a claim.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Finding {
-    /// It is running.
+    /// The claim is running.
     Running,
-    /// It ran to its end.
+    /// The claim ran to completion.
     Finished(Arc<Outcome>),
-    /// It did not run and never will.
+    /// The claim did not run and never will.
     NotRun(NotRun),
-    /// The upstream died while it ran.
+    /// The upstream crashed while it ran the claim.
     Died,
-    /// It may have run.
+    /// The claim may have run.
     Lost,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-enum Mark {
+enum ClaimState {
     Running,
     Finished(Arc<Outcome>),
     NotRun(NotRun),
@@ -100,115 +100,118 @@
     Lost,
 }
 
-/// Claims that one agent process has seen.
+/// Claims received by one agent process.
 #[derive(Clone, Debug, Hash)]
 pub struct AgentLedger {
     epoch: LedgerEpoch,
     incarnation: Incarnation,
     limits: LedgerLimits,
-    marks: BTreeMap<ClaimId, Mark>,
+    claims: BTreeMap<ClaimId, ClaimState>,
     closed: VecDeque<(Time, ClaimId)>,
     bytes: u64,
     floor: ClaimId,
 }
 
 impl AgentLedger {
-    /// Opens an empty memory under an epoch that no earlier one had.
+    /// Returns an empty ledger; no earlier ledger may have had this `epoch`.
     pub fn open(epoch: LedgerEpoch, incarnation: Incarnation, limits: LedgerLimits) -> Self {
         Self {
             epoch,
             incarnation,
             limits,
-            marks: BTreeMap::new(),
+            claims: BTreeMap::new(),
             closed: VecDeque::new(),
             bytes: 0,
             floor: ClaimId::default(),
         }
     }
 
-    /// Epoch of this memory.
+    /// Returns the epoch of this ledger.
     pub fn epoch(&self) -> LedgerEpoch {
         self.epoch
     }
 
-    /// Claims remembered.
+    /// Returns the number of claims stored.
     pub fn len(&self) -> usize {
-        self.marks.len()
+        self.claims.len()
     }
 
-    /// Whether no claim is remembered.
+    /// Returns whether no claim is stored.
     pub fn is_empty(&self) -> bool {
-        self.marks.is_empty()
+        self.claims.is_empty()
     }
 
-    /// Decides whether a claim that arrives is run.
+    /// Decides whether a received claim runs.
     pub fn begin(&mut self, claim: ClaimId, place: &Place, now: Time) -> Begin {
         if place.epoch != self.epoch {
             return Begin::NotRun(NotRun::OtherEpoch);
         }
-        if let Some(mark) = self.marks.get(&claim) {
-            return begin_again(mark);
+        if let Some(state) = self.claims.get(&claim) {
+            return begin_repeated(state);
         }
         if claim <= self.floor {
             return Begin::Lost;
         }
         if place.incarnation != self.incarnation {
-            self.close(claim, Mark::NotRun(NotRun::OtherIncarnation), now);
+            self.close(claim, ClaimState::NotRun(NotRun::OtherIncarnation), now);
             return Begin::NotRun(NotRun::OtherIncarnation);
         }
-        self.marks.insert(claim, Mark::Running);
+        self.claims.insert(claim, ClaimState::Running);
         Begin::Run
     }
 
-    /// Records how a running claim ended; later ends of it are ignored.
+    /// Records how a running claim ended; any later conclusion is ignored.
     pub fn finish(&mut self, claim: ClaimId, end: Conclusion, now: Time) {
-        if self.marks.get(&claim) != Some(&Mark::Running) {
+        if self.claims.get(&claim) != Some(&ClaimState::Running) {
             return;
         }
-        let mark = match end {
-            Conclusion::Finished(outcome) => Mark::Finished(Arc::new(outcome.bounded())),
-            Conclusion::Refused => Mark::NotRun(NotRun::Refused),
-            Conclusion::Died => Mark::Died,
-            Conclusion::Lost => Mark::Lost,
+        let state = match end {
+            Conclusion::Finished(outcome) => ClaimState::Finished(Arc::new(outcome.bounded())),
+            Conclusion::Refused => ClaimState::NotRun(NotRun::Refused),
+            Conclusion::Died => ClaimState::Died,
+            Conclusion::Lost => ClaimState::Lost,
         };
-        self.close(claim, mark, now);
+        self.close(claim, state, now);
     }
 
-    /// Tells what became of a claim; one that never arrived is barred for good.
+    /// Returns the state of a claim; one that was never received is barred from running.
     pub fn inquire(&mut self, claim: ClaimId, place: &Place, now: Time) -> Finding {
         if place.epoch != self.epoch {
             return Finding::Lost;
         }
-        if let Some(mark) = self.marks.get(&claim) {
-            return mark.clone().into();
+        if let Some(state) = self.claims.get(&claim) {
+            return state.clone().into();
         }
         if claim <= self.floor {
             return Finding::Lost;
         }
-        self.close(claim, Mark::NotRun(NotRun::Barred), now);
+        self.close(claim, ClaimState::NotRun(NotRun::Barred), now);
         Finding::NotRun(NotRun::Barred)
     }
 
-    /// Notes that the upstream died; all that ran there has ended.
+    /// Records a crash of the upstream, which ends all running claims.
     ///
     /// Returns the claims that were running.
     pub fn upstream_died(&mut self, now: Time) -> Vec<ClaimId> {
-        let running = self.marks.iter().filter(|(_, m)| **m == Mark::Running);
+        let running = self
+            .claims
+            .iter()
+            .filter(|(_, m)| **m == ClaimState::Running);
         let running: Vec<ClaimId> = running.map(|(claim, _)| *claim).collect();
         for claim in &running {
-            self.close(*claim, Mark::Died, now);
+            self.close(*claim, ClaimState::Died, now);
         }
         running
     }
 
-    /// Takes new claims for another start of the upstream.
+    /// Sets the incarnation of the upstream that new claims must name.
     pub fn upstream_started(&mut self, incarnation: Incarnation) {
         self.incarnation = incarnation;
     }
 
-    fn close(&mut self, claim: ClaimId, mark: Mark, now: Time) {
-        self.bytes += size_of_mark(&mark);
-        self.marks.insert(claim, mark);
+    fn close(&mut self, claim: ClaimId, state: ClaimState, now: Time) {
+        self.bytes += answer_bytes(&state);
+        self.claims.insert(claim, state);
         self.closed.push_back((now, claim));
         self.prune(now);
     }
@@ -220,38 +223,38 @@
                 return;
             }
             self.closed.pop_front();
-            if let Some(mark) = self.marks.remove(&claim) {
-                self.bytes -= size_of_mark(&mark);
+            if let Some(state) = self.claims.remove(&claim) {
+                self.bytes -= answer_bytes(&state);
             }
             self.floor = self.floor.max(claim);
         }
     }
 }
 
-impl From<Mark> for Finding {
-    fn from(mark: Mark) -> Self {
-        match mark {
-            Mark::Running => Self::Running,
-            Mark::Finished(outcome) => Self::Finished(outcome),
-            Mark::NotRun(reason) => Self::NotRun(reason),
-            Mark::Died => Self::Died,
-            Mark::Lost => Self::Lost,
+impl From<ClaimState> for Finding {
+    fn from(state: ClaimState) -> Self {
+        match state {
+            ClaimState::Running => Self::Running,
+            ClaimState::Finished(outcome) => Self::Finished(outcome),
+            ClaimState::NotRun(reason) => Self::NotRun(reason),
+            ClaimState::Died => Self::Died,
+            ClaimState::Lost => Self::Lost,
         }
     }
 }
 
-fn begin_again(mark: &Mark) -> Begin {
-    match mark {
-        Mark::Running => Begin::Running,
-        Mark::Finished(outcome) => Begin::Finished(Arc::clone(outcome)),
-        Mark::NotRun(reason) => Begin::NotRun(*reason),
-        Mark::Died | Mark::Lost => Begin::Lost,
+fn begin_repeated(state: &ClaimState) -> Begin {
+    match state {
+        ClaimState::Running => Begin::Running,
+        ClaimState::Finished(outcome) => Begin::Finished(Arc::clone(outcome)),
+        ClaimState::NotRun(reason) => Begin::NotRun(*reason),
+        ClaimState::Died | ClaimState::Lost => Begin::Lost,
     }
 }
 
-fn size_of_mark(mark: &Mark) -> u64 {
-    match mark {
-        Mark::Finished(outcome) => outcome.size(),
+fn answer_bytes(state: &ClaimState) -> u64 {
+    match state {
+        ClaimState::Finished(outcome) => outcome.size(),
         _ => 0,
     }
 }
--- a/decision/outcome/src/lib.rs
+++ b/decision/outcome/src/lib.rs
@@ -1,15 +1,15 @@
 //! At-most-once claims, recorded outcomes, stream assembly and crash suspicion.
 //!
 //! A non-idempotent request runs only under a claim that a quorum has
-//! committed in the [`Journal`]. The agent beside the upstream runs each claim
-//! at most once and remembers it in an [`AgentLedger`]; the entry drives claim,
-//! send, inquiry and settlement with an [`Attempt`]. Whatever dies, the next
-//! entry that is asked for the key finds the claim and asks the agent about it.
+//! committed in the [`Journal`]. The agent of the upstream runs each claim at
+//! most once and records it in an [`AgentLedger`]; the entry drives claim,
+//! send, inquiry and settlement with an [`Attempt`]. After any failure, the next
+//! entry that receives the key finds the claim and queries the agent about it.
 //!
-//! Streamed answers are put in order by an [`Assembly`], and a stream whose
-//! engine dies is resumed or ended by [`after_break`]. A [`SignOfLife`] tells the
-//! death of an upstream from a lost connection, and requests that crash what runs
-//! them are found by content with [`Suspicion`].
+//! An [`Assembly`] reorders streamed answers, and [`after_break`] resumes or
+//! ends a stream whose engine crashed. [`SignOfLife`] distinguishes the crash of
+//! an upstream from a lost connection, and [`Suspicion`] identifies by content
+//! the requests that crash upstreams.
 
 mod assembly;
 mod attempt;
--- a/decision/outcome/src/life.rs
+++ b/decision/outcome/src/life.rs
@@ -1,39 +1,39 @@
-//! Tells the death of an upstream from the failure of one request.
+//! Distinguishes the crash of an upstream from the failure of one request.
 //!
-//! A request that breaks off may have lost only its connection. The upstream's
-//! next announcements tell: a newer start means that it died, and so does
-//! silence. One more announcement of the same start proves nothing, since it may
-//! have been sent before the break; the one after it was sent later, because an
-//! upstream sends an announcement only once the one before it is answered.
+//! A request that breaks may have lost only its connection. A newer incarnation
+//! in a later announcement proves a crash, and missing announcements count as
+//! one. A single further announcement of the same incarnation proves nothing, as
+//! it may have been sent before the break. The second one was sent after it,
+//! because an upstream waits for the reply to each announcement before the next.
 
 use pimentotide_model::Incarnation;
 
-/// Announcements of the same start after a break that prove that it lives on.
-const PROOF: u64 = 2;
+/// Announcements of the same incarnation after a break that rule out a crash.
+const MIN_ANNOUNCEMENTS: u64 = 2;
 
-/// Announcements of an upstream so far.
+/// Announcements received from an upstream.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SignOfLife {
-    /// Start that it announced last.
+    /// Incarnation in the last announcement.
     pub start: Incarnation,
-    /// Number of announcements.
+    /// Number of announcements received.
     pub count: u64,
 }
 
 impl SignOfLife {
-    /// Takes in one announcement.
+    /// Records one announcement.
     pub fn announced(&mut self, start: Incarnation) {
         self.start = start;
         self.count += 1;
     }
 
-    /// Whether the start `incarnation` died; none while that is open.
+    /// Returns whether `incarnation` has crashed, or `None` while undecided.
     ///
-    /// `at_break` is the sign of life when the request broke off.
+    /// `at_break` is the state at the time when the request broke.
     pub fn has_died(self, at_break: Self, incarnation: Incarnation) -> Option<bool> {
         if self.start > incarnation {
             Some(true)
-        } else if self.count >= at_break.count + PROOF {
+        } else if self.count >= at_break.count + MIN_ANNOUNCEMENTS {
             Some(false)
         } else {
             None
--- a/decision/outcome/src/resume.rs
+++ b/decision/outcome/src/resume.rs
@@ -1,37 +1,37 @@
-//! What to do with a stream whose engine died.
+//! Decides about a stream whose engine crashed.
 
 use derive_more::Display;
 use pimentotide_model::{ErrorKind, Failure, Ran, Time, UpstreamName};
 
 use crate::Verdict;
 
-/// State of a request whose stream broke off.
+/// State of a request whose stream broke.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Break {
     /// Whether the request may run more than once.
     pub idempotent: bool,
-    /// Tokens that the caller has been sent.
+    /// Number of tokens already sent to the caller.
     pub delivered: u64,
-    /// Whether engines can go on from given tokens.
+    /// Whether engines can continue from given tokens.
     pub resumable: bool,
-    /// Attempts left, and allowed by the retry budget.
+    /// Number of attempts left that the retry budget allows.
     pub attempts: u32,
     /// Time by which the request must be answered.
     pub deadline: Time,
-    /// Upstream that can still export the KV cache.
+    /// Upstream that can still export the KV cache, if any.
     pub exporter: Option<UpstreamName>,
-    /// Whether the content may run on the upstream chosen next, asked after the
-    /// crash was reported.
+    /// Whether the content may run on the upstream chosen next, as decided after
+    /// the crash was reported.
     pub verdict: Verdict,
 }
 
-/// Where the next engine gets the KV cache from.
+/// Source of the KV cache for the next engine.
 #[derive(Clone, Debug, Display, PartialEq, Eq, Hash)]
 pub enum KvSource {
-    /// Exported by this upstream.
+    /// Imported from this upstream.
     #[display("import from {_0}")]
     Import(UpstreamName),
-    /// Computed again from prompt and tokens.
+    /// Recomputed from the prompt and the delivered tokens.
     #[display("recompute")]
     Recompute,
 }
@@ -39,47 +39,56 @@
 /// What happens to the request.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum ResumePlan {
-    /// Go on elsewhere at token `from`.
+    /// Continue on another engine at token `from`.
     Continue {
         /// Position of the next token.
         from: u64,
         /// Source of the KV cache.
         source: KvSource,
     },
-    /// Run it anew; the caller has been sent nothing.
+    /// Run it from the start; the caller has received no token.
     Restart,
-    /// Ask again about the content at this time.
+    /// Request a new verdict on the content at this time.
     Wait(Time),
-    /// Choose another upstream and ask again.
+    /// Choose another upstream and request a new verdict.
     ChooseAgain,
     /// End the stream with an error event.
     Fail(Failure),
 }
 
-/// Decides about a stream that broke off.
+/// Decides about a broken stream.
 pub fn after_break(state: &Break, now: Time) -> ResumePlan {
     if !state.idempotent {
-        return fail(ErrorKind::StreamBroken, "the request may not run twice");
+        return fail(ErrorKind::StreamBroken, "the request is not idempotent");
     }
     if now >= state.deadline {
-        return fail(ErrorKind::DeadlineExceeded, "the stream broke off");
+        return fail(
+            ErrorKind::DeadlineExceeded,
+            "the stream broke and the deadline passed",
+        );
     }
     if state.attempts == 0 {
-        return fail(ErrorKind::StreamBroken, "no attempt is left");
+        return fail(ErrorKind::StreamBroken, "no attempts left");
     }
     if state.delivered > 0 && !state.resumable {
-        return fail(ErrorKind::StreamBroken, "the engine cannot resume");
+        return fail(ErrorKind::StreamBroken, "the engine cannot resume a stream");
     }
     match state.verdict {
-        Verdict::Refused(_) => fail(ErrorKind::CrashingRequest, "crashed two upstreams"),
+        Verdict::Refused(_) => fail(
+            ErrorKind::CrashingRequest,
+            "this content crashed two upstreams",
+        ),
         Verdict::Wait(pause) if now + pause < state.deadline => ResumePlan::Wait(now + pause),
-        Verdict::Wait(_) => fail(ErrorKind::StreamBroken, "no time for a retry apart"),
+        Verdict::Wait(_) => fail(
+            ErrorKind::StreamBroken,
+            "too close to the deadline for an isolated retry",
+        ),
         Verdict::Occupied => ResumePlan::ChooseAgain,
-        Verdict::Free | Verdict::Apart => go_on(state),
+        Verdict::Free | Verdict::Apart => resume_or_restart(state),
     }
 }
 
-fn go_on(state: &Break) -> ResumePlan {
+fn resume_or_restart(state: &Break) -> ResumePlan {
     if state.delivered == 0 {
         return ResumePlan::Restart;
     }
--- a/decision/outcome/src/suspicion.rs
+++ b/decision/outcome/src/suspicion.rs
@@ -1,11 +1,11 @@
-//! Finds the requests that crash what runs them, by content.
+//! Identifies by content the requests that crash upstreams.
 //!
-//! A crash that its agent outlived is evidence against every request that was
-//! running. Each of them then waits until all entries have heard of it and
-//! runs next on an upstream that runs no other suspect, so that a second crash
-//! tells it from the others and a success clears it. The loss of a whole instance is evidence
-//! only when the same content sees it twice, and crashes of many upstreams of
-//! one zone at once are evidence against the zone, not against requests.
+//! A crash that the agent survives makes every running request a suspect. A
+//! suspect waits until all entries have received the report, then runs on an
+//! upstream with no other suspect: a second crash identifies it, a success
+//! clears it. The loss of a whole instance counts only when it happens twice to
+//! the same content. Crashes of many upstreams of a zone at once are attributed
+//! to the zone, except for a content that ran on all of them.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
@@ -15,65 +15,67 @@
 
 use crate::Ticket;
 
-/// Crashes of one content after which it is refused.
+/// Number of crashes after which a content is refused.
 const MAX_STRIKES: usize = 2;
-/// Lost instances of one content that count as one crash.
+/// Number of lost instances that count as one crash of a content.
 const LOSSES_PER_STRIKE: usize = 2;
-/// Time from a crash to the first retry of what ran there.
-const QUIET: Duration = Duration::from_secs(1);
-/// Pause of a suspect while another copy of its content runs.
-const TRIAL_PAUSE: Duration = Duration::from_secs(1);
-/// Time for which a crash is remembered.
-const MEMORY: Duration = Duration::from_secs(600);
-/// Time for which a content is refused after its last crash.
-const REFUSAL: Duration = Duration::from_secs(600);
-/// Upstreams of one zone whose crashes within [`ZONE_SPAN`] are the zone's.
-const ZONE_CRASHES: usize = 3;
-/// Time within which crashes of one zone belong together.
-const ZONE_SPAN: Duration = Duration::from_secs(2);
-/// Crashes remembered; the oldest go first.
+/// Time from a crash to the first retry of the suspects, for all entries to
+/// receive the report.
+const RETRY_DELAY: Duration = Duration::from_secs(1);
+/// Retry delay of a suspect while another copy of its content runs.
+const TRIAL_RETRY_DELAY: Duration = Duration::from_secs(1);
+/// Time after which a crash expires.
+const CRASH_RETENTION: Duration = Duration::from_secs(600);
+/// Duration of a refusal, counted from the last crash.
+const REFUSAL_DURATION: Duration = Duration::from_secs(600);
+/// Number of upstreams of a zone whose crashes within [`ZONE_CRASH_WINDOW`] are
+/// attributed to the zone.
+const MIN_ZONE_CRASHES: usize = 3;
+/// Time window in which crashes of one zone are related.
+const ZONE_CRASH_WINDOW: Duration = Duration::from_secs(2);
+/// Maximum number of crashes; the oldest are evicted first.
 const MAX_CRASHES: usize = 256;
-/// Suspects remembered for each crash.
-const MAX_SUSPECTS: usize = 512;
-/// Contents refused at once; the oldest refusal goes first.
-const MAX_REFUSED: usize = 1_024;
+/// Maximum number of suspects per crash.
+const MAX_SUSPECTS_PER_CRASH: usize = 512;
+/// Maximum number of refused contents; the oldest refusal is evicted first.
+const MAX_REFUSED_CONTENTS: usize = 1_024;
 
-/// Who saw an upstream die.
+/// Process that observed a crash.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Witness {
-    /// An entry that lost the whole instance.
+    /// An entry that observed the loss of the whole instance.
     Entry,
-    /// The agent, which outlived its upstream.
+    /// The agent, which survived the crash of its upstream.
     Agent,
 }
 
-/// Death of one start of an upstream with what was running on it.
+/// Crash of one incarnation of an upstream with the requests running on it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Crash {
-    /// Upstream that died.
+    /// Upstream that crashed.
     pub upstream: UpstreamName,
-    /// Start that ended.
+    /// Incarnation that crashed.
     pub incarnation: Incarnation,
-    /// Zone of the upstream, if the reporter knows it.
+    /// Zone of the upstream; `None` if the reporter lacks it.
     pub zone: Option<ZoneName>,
-    /// Who saw it.
+    /// Process that observed the crash.
     pub witness: Witness,
-    /// Contents that were running.
+    /// Contents of the running requests.
     pub suspects: Vec<Fingerprint>,
 }
 
-/// How a content may run.
+/// Decision on whether and where a content may run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Verdict {
-    /// Like any other.
+    /// May run without restrictions.
     Free,
-    /// On the upstream that was asked for, as its only suspect.
+    /// May run on the requested upstream, as its only suspect.
     Apart,
-    /// Not on this upstream now: it runs another suspect.
+    /// May not run on this upstream now, which runs another suspect.
     Occupied,
-    /// Not before this time has passed.
+    /// May run after this time.
     Wait(Duration),
-    /// Not at all before this time has passed.
+    /// Refused for this time.
     Refused(Duration),
 }
 
@@ -85,7 +87,7 @@
     witness: Witness,
     at: Time,
     suspects: BTreeSet<Fingerprint>,
-    /// Suspects that the death of the zone excuses.
+    /// Suspects excused by the failure of the zone.
     excused: BTreeSet<Fingerprint>,
 }
 
@@ -96,7 +98,7 @@
     until: Time,
 }
 
-/// Contents under suspicion, equal on every replica.
+/// Suspected contents, identical on every replica.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Suspicion {
     events: VecDeque<Event>,
@@ -105,28 +107,28 @@
 }
 
 impl Suspicion {
-    /// Whether nothing is under suspicion.
+    /// Returns whether no content is suspected or refused.
     pub fn is_empty(&self) -> bool {
         self.events.is_empty() && self.refused.is_empty()
     }
 
-    /// Takes in a crash; reports of the same crash add up.
+    /// Records a crash; reports of the same crash are merged.
     pub fn report(&mut self, crash: &Crash, at: Time) {
         self.expire(at);
         self.merge(crash, at);
-        self.excuse_zone(crash.zone.as_ref(), at);
+        self.excuse_zone_failure(crash.zone.as_ref(), at);
         for suspect in &crash.suspects {
             self.trials.remove(suspect);
             self.refuse_if_due(*suspect, at);
         }
-        self.trim();
+        self.enforce_limits();
     }
 
-    /// Decides whether a content may run on `upstream`, and reserves its place
-    /// there if it is a suspect.
+    /// Decides whether a content may run on `upstream`, and reserves a trial
+    /// there for a suspect.
     ///
-    /// The reservation of `ticket` ends after `allowed`, or with a crash, a
-    /// success or [`Suspicion::end_trial`].
+    /// The trial of `ticket` ends after `allowed`, or with a crash, a success or
+    /// [`Suspicion::end_trial`].
     pub fn admit(
         &mut self,
         content: Fingerprint,
@@ -147,7 +149,7 @@
         verdict
     }
 
-    /// Says how a content may run if `ticket` asks for `upstream`.
+    /// Returns the verdict on a content that `ticket` requests to run on `upstream`.
     pub fn verdict(
         &self,
         content: Fingerprint,
@@ -163,21 +165,21 @@
         let Some(last) = self.last_strike(content) else {
             return Verdict::Free;
         };
-        if at < last + QUIET {
-            return Verdict::Wait((last + QUIET).since(at));
+        if at < last + RETRY_DELAY {
+            return Verdict::Wait((last + RETRY_DELAY).since(at));
         }
-        self.quarantine(content, ticket, upstream, at)
+        self.isolate(content, ticket, upstream, at)
     }
 
-    /// Lists the upstreams that run a suspect.
+    /// Returns the upstreams that run a suspect.
     pub fn occupied(&self, at: Time) -> BTreeSet<UpstreamName> {
-        let live = self.trials.values().filter(|t| at < t.until);
-        live.map(|t| t.upstream.clone()).collect()
+        let active = self.trials.values().filter(|t| at < t.until);
+        active.map(|t| t.upstream.clone()).collect()
     }
 
-    /// Ends the reservation of `ticket`, if it holds one.
+    /// Ends the trial of `ticket`, if it holds one.
     ///
-    /// A request that ran to its end clears its content.
+    /// A request that ran to completion (`finished`) clears its content.
     pub fn end_trial(&mut self, content: Fingerprint, ticket: Ticket, finished: bool) {
         if self.trials.get(&content).is_none_or(|t| t.ticket != ticket) {
             return;
@@ -188,7 +190,7 @@
         }
     }
 
-    /// Clears a content that ran to its end.
+    /// Clears a content that ran to completion, unless it is refused.
     pub fn clear(&mut self, content: Fingerprint) {
         if self.is_empty() || self.refused.contains_key(&content) {
             return;
@@ -201,14 +203,14 @@
         self.events.retain(|e| !e.suspects.is_empty());
     }
 
-    /// Forgets what is past its time.
+    /// Removes expired crashes, trials and refusals.
     pub fn expire(&mut self, at: Time) {
-        self.events.retain(|e| at < e.at + MEMORY);
+        self.events.retain(|e| at < e.at + CRASH_RETENTION);
         self.trials.retain(|_, t| at < t.until);
         self.refused.retain(|_, until| at < *until);
     }
 
-    /// Lists the contents that may not run like any other.
+    /// Returns the suspected and refused contents.
     pub fn contents(&self) -> BTreeSet<Fingerprint> {
         let suspects = self.events.iter().flat_map(|e| &e.suspects);
         suspects
@@ -218,7 +220,7 @@
             .collect()
     }
 
-    fn quarantine(
+    fn isolate(
         &self,
         content: Fingerprint,
         ticket: Ticket,
@@ -229,7 +231,7 @@
             && trial.ticket != ticket
             && at < trial.until
         {
-            return Verdict::Wait(trial.until.since(at).min(TRIAL_PAUSE));
+            return Verdict::Wait(trial.until.since(at).min(TRIAL_RETRY_DELAY));
         }
         let mut others = self.trials.iter().filter(|(c, _)| **c != content);
         if others.any(|(_, t)| t.upstream == *upstream && at < t.until) {
@@ -239,11 +241,11 @@
     }
 
     fn merge(&mut self, crash: &Crash, at: Time) {
-        let known = self
+        let existing = self
             .events
             .iter_mut()
             .find(|e| e.upstream == crash.upstream && e.incarnation == crash.incarnation);
-        if let Some(event) = known {
+        if let Some(event) = existing {
             event.witness = event.witness.max(crash.witness);
             event.zone = event.zone.take().or_else(|| crash.zone.clone());
             event.suspects.extend(&crash.suspects);
@@ -260,22 +262,23 @@
         });
     }
 
-    /// Excuses what ran in a zone that lost many upstreams at once.
+    /// Excuses the requests of a zone that lost many upstreams at once.
     ///
-    /// A content that ran on every one of them stays under suspicion.
-    fn excuse_zone(&mut self, zone: Option<&ZoneName>, at: Time) {
+    /// A content that ran on all of these upstreams remains suspected.
+    fn excuse_zone_failure(&mut self, zone: Option<&ZoneName>, at: Time) {
         let Some(zone) = zone else {
             return;
         };
-        let recent = |e: &Event| e.zone.as_ref() == Some(zone) && at.since(e.at) <= ZONE_SPAN;
-        let lost: Vec<&Event> = self.events.iter().filter(|e| recent(e)).collect();
-        let upstreams: BTreeSet<&UpstreamName> = lost.iter().map(|e| &e.upstream).collect();
-        if upstreams.len() < ZONE_CRASHES {
+        let recent =
+            |e: &Event| e.zone.as_ref() == Some(zone) && at.since(e.at) <= ZONE_CRASH_WINDOW;
+        let crashes: Vec<&Event> = self.events.iter().filter(|e| recent(e)).collect();
+        let upstreams: BTreeSet<&UpstreamName> = crashes.iter().map(|e| &e.upstream).collect();
+        if upstreams.len() < MIN_ZONE_CRASHES {
             return;
         }
-        let common = lost[1..]
+        let common = crashes[1..]
             .iter()
-            .fold(lost[0].suspects.clone(), |common, e| {
+            .fold(crashes[0].suspects.clone(), |common, e| {
                 common.intersection(&e.suspects).copied().collect()
             });
         for event in self.events.iter_mut().filter(|e| recent(e)) {
@@ -284,7 +287,7 @@
         self.withdraw_refusals();
     }
 
-    /// Withdraws refusals for which too few crashes remain as evidence.
+    /// Withdraws refusals for which too few crashes remain.
     fn withdraw_refusals(&mut self) {
         let excused: BTreeSet<Fingerprint> = self
             .events
@@ -303,7 +306,7 @@
 
     fn refuse_if_due(&mut self, content: Fingerprint, at: Time) {
         if self.strikes(content) >= MAX_STRIKES {
-            self.refused.insert(content, at + REFUSAL);
+            self.refused.insert(content, at + REFUSAL_DURATION);
         }
     }
 
@@ -324,23 +327,23 @@
         if self.events.is_empty() || self.strikes(content) == 0 {
             return None;
         }
-        let held = self.events.iter().filter(|e| e.suspects.contains(&content));
-        held.map(|e| e.at).max()
+        let suspecting = self.events.iter().filter(|e| e.suspects.contains(&content));
+        suspecting.map(|e| e.at).max()
     }
 
-    fn trim(&mut self) {
+    fn enforce_limits(&mut self) {
         while self.events.len() > MAX_CRASHES {
             self.events.pop_front();
         }
         for event in &mut self.events {
-            while event.suspects.len() > MAX_SUSPECTS {
+            while event.suspects.len() > MAX_SUSPECTS_PER_CRASH {
                 event.suspects.pop_last();
             }
         }
-        while self.refused.len() > MAX_REFUSED {
-            let first = self.refused.iter().min_by_key(|(_, t)| **t);
-            let first = first.map(|(content, _)| *content);
-            self.refused.retain(|c, _| Some(*c) != first);
+        while self.refused.len() > MAX_REFUSED_CONTENTS {
+            let oldest = self.refused.iter().min_by_key(|(_, t)| **t);
+            let oldest = oldest.map(|(content, _)| *content);
+            self.refused.retain(|c, _| Some(*c) != oldest);
         }
     }
 }
--- a/decision/outcome/src/window.rs
+++ b/decision/outcome/src/window.rs
@@ -1,11 +1,10 @@
-//! Bounded memory of one workspace's keys.
+//! Bounded set of the keys of one workspace.
 //!
-//! A closed record keeps its answer until the workspace has too many records
-//! or bytes, or the record is too old; then only a tombstone stays, which
-//! still keeps the key from running again. Tombstones go by age. When there
-//! are too many, the oldest goes early, but none younger than the shortest
-//! window: then new keys are refused instead. A key that an entry made up
-//! keeps no answer, since nobody can ask for it again.
+//! A closed record keeps its answer until it is too old or the workspace exceeds
+//! its records or bytes; then a tombstone replaces it, which still prevents a
+//! second run. Tombstones are evicted by age, and earlier if there are too many
+//! keys, but not before the shortest retention: new keys are rejected instead.
+//! Generated keys keep no answer, since no retry can present them.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -16,28 +15,29 @@
 
 use crate::{Outcome, Place, Ticket};
 
-/// Bounds of what the journal keeps, the same on every replica.
+/// Limits of the journal, identical on every replica.
 ///
-/// With the defaults a full journal fits into a snapshot of 256 MiB.
+/// With the defaults, a full journal fits into a snapshot of 256 MiB.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Limits {
-    /// Workspaces with any key.
+    /// Maximum number of workspaces with any key.
     pub workspaces: usize,
-    /// Claims running in a workspace.
+    /// Maximum number of running claims per workspace.
     pub running: usize,
-    /// Closed records with their answers in a workspace.
+    /// Maximum number of closed records with answers per workspace.
     pub records: usize,
-    /// Bytes of recorded answers in a workspace.
+    /// Maximum size of recorded answers per workspace in bytes.
     pub bytes: u64,
-    /// Keys remembered in a workspace, tombstones included.
+    /// Maximum number of keys per workspace, tombstones included.
     pub keys: usize,
-    /// Age at which a closed record gives up its answer.
+    /// Age at which a tombstone replaces a closed record.
     pub answers: Duration,
-    /// Age at which a key is forgotten.
+    /// Age at which a key is removed.
     pub longest: Duration,
-    /// Age before which no key is forgotten.
+    /// Age before which no key is removed.
     pub shortest: Duration,
-    /// Time past its allowed time after which a running claim is given up.
+    /// Time after the end of its allowed run time at which a running claim becomes
+    /// unknown.
     pub grace: Duration,
 }
 
@@ -57,18 +57,18 @@
     }
 }
 
-/// How far a claim has come.
+/// State of a claim.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub(crate) enum Phase {
     /// Granted and not closed.
     Running,
-    /// Ran to its end.
+    /// Ran to completion.
     Finished(Arc<Outcome>),
-    /// Nobody can tell whether it ran.
+    /// It is unknown whether the claim ran.
     Unknown,
 }
 
-/// What a key stands for.
+/// Claim of a key and its outcome.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub(crate) struct Record {
     pub(crate) claim: ClaimId,
@@ -81,7 +81,7 @@
     pub(crate) phase: Phase,
 }
 
-/// What stays of a closed record without its answer.
+/// Remainder of a closed record whose answer was removed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub(crate) struct Tombstone {
     pub(crate) finished: bool,
@@ -92,19 +92,19 @@
     fn of(record: &Record) -> Self {
         Self {
             finished: matches!(record.phase, Phase::Finished(_)),
-            content: content_of(record.fingerprint),
+            content: fingerprint_prefix(record.fingerprint),
         }
     }
 
-    /// Whether it was left by a request with this content.
+    /// Returns whether the request had this content.
     pub(crate) fn matches(self, fingerprint: Fingerprint) -> bool {
-        self.content == content_of(fingerprint)
+        self.content == fingerprint_prefix(fingerprint)
     }
 }
 
-/// What a window holds under a key.
-pub(crate) enum Held<'a> {
-    Nothing,
+/// State of a key in a window.
+pub(crate) enum KeyState<'a> {
+    Absent,
     Record(&'a Record),
     Tombstone(Tombstone),
 }
@@ -125,34 +125,34 @@
         self.records.is_empty() && self.tombstones.is_empty()
     }
 
-    /// Keys remembered, tombstones included.
+    /// Returns the number of keys stored, tombstones included.
     pub(crate) fn len(&self) -> usize {
         self.records.len() + self.tombstones.len()
     }
 
-    pub(crate) fn get(&self, key: &IdempotencyKey) -> Held<'_> {
+    pub(crate) fn get(&self, key: &IdemKey) -> KeyState<'_> {
         if let Some(record) = self.records.get(key) {
-            return Held::Record(record);
+            return KeyState::Record(record);
         }
         self.tombstones
-            .get(&digest_of(key))
-            .map_or(Held::Nothing, |t| Held::Tombstone(*t))
+            .get(&key_digest(key))
+            .map_or(KeyState::Absent, |t| KeyState::Tombstone(*t))
     }
 
-    /// Whether another attempt runs this content.
-    pub(crate) fn runs(&self, content: Fingerprint, except: Ticket) -> bool {
+    /// Returns whether an attempt other than `except` runs this content.
+    pub(crate) fn has_running(&self, content: Fingerprint, except: Ticket) -> bool {
         let mut running = self.running.values().map(|key| &self.records[key]);
         running.any(|r| r.fingerprint == content && r.ticket != except)
     }
 
-    /// Makes room for one more key; false if there is none.
+    /// Makes room for another key; returns whether there is any.
     pub(crate) fn make_room(&mut self, limits: &Limits, at: Time) -> bool {
         self.prune(limits, at);
         if self.running.len() >= limits.running {
             return false;
         }
         while self.len() >= limits.keys {
-            if !self.forget_older(limits.shortest, at) {
+            if !self.evict_tombstone(limits.shortest, at) {
                 return false;
             }
         }
@@ -164,38 +164,38 @@
         self.records.insert(key, record);
     }
 
-    /// Forgets a running claim that did not run.
-    pub(crate) fn release(&mut self, key: &IdempotencyKey) {
+    /// Removes a claim that did not run.
+    pub(crate) fn release(&mut self, key: &IdemKey) {
         if let Some(record) = self.records.remove(key) {
             self.running.remove(&record.claim);
         }
     }
 
-    /// Ends a running claim, or puts an answer in place of an unknown outcome.
-    pub(crate) fn close(&mut self, key: &IdempotencyKey, phase: Phase, limits: &Limits, at: Time) {
-        self.end(key, phase, at);
+    /// Closes a running claim, or replaces an unknown outcome by an answer.
+    pub(crate) fn close(&mut self, key: &IdemKey, phase: Phase, limits: &Limits, at: Time) {
+        self.set_phase(key, phase, at);
         self.prune(limits, at);
     }
 
-    fn end(&mut self, key: &IdempotencyKey, phase: Phase, at: Time) {
+    fn set_phase(&mut self, key: &IdemKey, phase: Phase, at: Time) {
         let Some(record) = self.records.get_mut(key) else {
             return;
         };
-        let first = record.phase == Phase::Running;
-        let spent = record.generated && matches!(phase, Phase::Finished(_));
-        self.bytes += size_of_phase(&phase);
+        let was_running = record.phase == Phase::Running;
+        let discard_answer = record.generated && matches!(phase, Phase::Finished(_));
+        self.bytes += answer_bytes(&phase);
         record.phase = phase;
         self.running.remove(&record.claim);
-        if first && spent {
-            self.bury(key, at);
-        } else if first {
+        if was_running && discard_answer {
+            self.replace_with_tombstone(key, at);
+        } else if was_running {
             self.closed.push_back((at, key.clone()));
         }
     }
 
-    /// Gives up overdue claims and drops what is past its bounds.
+    /// Closes overdue claims as unknown and evicts entries beyond the limits.
     pub(crate) fn expire(&mut self, limits: &Limits, at: Time) {
-        self.give_up(limits, at);
+        self.close_overdue(limits, at);
         self.prune(limits, at);
     }
 
@@ -206,40 +206,40 @@
             if !old && !full {
                 break;
             }
-            self.bury_oldest();
+            self.evict_oldest_record();
         }
-        while self.forget_older(limits.longest, at) {}
+        while self.evict_tombstone(limits.longest, at) {}
     }
 
-    fn give_up(&mut self, limits: &Limits, at: Time) {
-        let overdue: Vec<IdempotencyKey> = self
+    fn close_overdue(&mut self, limits: &Limits, at: Time) {
+        let overdue: Vec<IdemKey> = self
             .running
             .values()
             .filter(|key| self.records[*key].until + limits.grace <= at)
             .cloned()
             .collect();
         for key in overdue {
-            self.end(&key, Phase::Unknown, at);
+            self.set_phase(&key, Phase::Unknown, at);
         }
     }
 
-    fn bury_oldest(&mut self) {
+    fn evict_oldest_record(&mut self) {
         if let Some((closed, key)) = self.closed.pop_front() {
-            self.bury(&key, closed);
+            self.replace_with_tombstone(&key, closed);
         }
     }
 
-    fn bury(&mut self, key: &IdempotencyKey, closed: Time) {
+    fn replace_with_tombstone(&mut self, key: &IdemKey, closed: Time) {
         let Some(record) = self.records.remove(key) else {
             return;
         };
-        self.bytes -= size_of_phase(&record.phase);
-        let digest = digest_of(key);
+        self.bytes -= answer_bytes(&record.phase);
+        let digest = key_digest(key);
         self.tombstones.insert(digest, Tombstone::of(&record));
         self.ages.push_back((closed, digest));
     }
 
-    fn forget_older(&mut self, age: Duration, at: Time) -> bool {
+    fn evict_tombstone(&mut self, age: Duration, at: Time) -> bool {
         let Some((closed, digest)) = self.ages.front() else {
             return false;
         };
@@ -252,18 +252,18 @@
     }
 }
 
-fn size_of_phase(phase: &Phase) -> u64 {
+fn answer_bytes(phase: &Phase) -> u64 {
     match phase {
         Phase::Finished(outcome) => outcome.size(),
         Phase::Running | Phase::Unknown => 0,
     }
 }
 
-fn digest_of(key: &IdempotencyKey) -> Fingerprint {
+fn key_digest(key: &IdemKey) -> Fingerprint {
     Fingerprint::of([key.as_bytes()])
 }
 
-fn content_of(fingerprint: Fingerprint) -> u64 {
+fn fingerprint_prefix(fingerprint: Fingerprint) -> u64 {
     let mut head = [0; 8];
     head.copy_from_slice(&fingerprint.0[..8]);
     u64::from_le_bytes(head)
