--- a/decision/outcome/tests/it/assembly.rs
+++ b/decision/outcome/tests/it/assembly.rs
@@ -1,4 +1,7 @@
-//! Streamed answers are delivered whole and in order, or end in an explicit fault.
+//! Streamed answers are delivered completely and in order, or end with a fault.
+//!
+//! Guards against answers that are truncated, reordered or mixed with the pieces of
+//! another request or attempt, when pieces are lost, duplicated or delayed.
 
 use std::time::Duration;
 
@@ -8,7 +11,7 @@
 use proptest::prelude::*;
 
 const REQUEST: RequestId = RequestId(7);
-const STALL: Duration = Duration::from_secs(5);
+const PAST_GAP_TIMEOUT: Duration = Duration::from_secs(5);
 
 fn token(position: u64) -> Piece<u64> {
     Piece::Token {
@@ -27,7 +30,7 @@
     }
 }
 
-fn of_another(piece: &Piece<u64>) -> Piece<u64> {
+fn of_other_request(piece: &Piece<u64>) -> Piece<u64> {
     let mut other = piece.clone();
     match &mut other {
         Piece::Token { request, token, .. } => {
@@ -43,32 +46,32 @@
     (0..total).map(|p| p * 10).collect()
 }
 
-/// Pushes all pieces, lets time pass and closes.
+/// Pushes all pieces, advances the time past the gap timeout and closes the stream.
 fn run(pieces: &[Piece<u64>]) -> (Vec<u64>, Progress) {
     let mut assembly = Assembly::open(REQUEST, 1);
     let mut out = Vec::new();
     for piece in pieces {
         assembly.push(piece.clone(), Time::ZERO, &mut out);
     }
-    assembly.tick(Time::ZERO + STALL);
+    assembly.tick(Time::ZERO + PAST_GAP_TIMEOUT);
     (out, assembly.close())
 }
 
-/// Pieces of one answer, shuffled, some twice, some lost, some of another request.
+/// Pieces of one answer in any order, with duplicates, losses and pieces of another request.
 fn arrivals() -> impl Strategy<Value = (u64, bool, Vec<Piece<u64>>)> {
     let piece = (0..10u8, 0..8u8, any::<u32>());
     (0..40u64).prop_flat_map(move |total| {
-        let fates = vec(piece.clone(), usize::try_from(total).unwrap() + 1);
-        fates.prop_map(move |fates| arrange(total, &fates))
+        let draws = vec(piece.clone(), usize::try_from(total).unwrap() + 1);
+        draws.prop_map(move |draws| arrange(total, &draws))
     })
 }
 
-fn arrange(total: u64, fates: &[(u8, u8, u32)]) -> (u64, bool, Vec<Piece<u64>>) {
+fn arrange(total: u64, draws: &[(u8, u8, u32)]) -> (u64, bool, Vec<Piece<u64>>) {
     let pieces = (0..total).map(token).chain([end(total)]);
     let mut keyed = Vec::new();
     let mut lost = false;
-    for (piece, (fate, other, order)) in pieces.zip(fates) {
-        let copies = match fate {
+    for (piece, (delivery, other, order)) in pieces.zip(draws) {
+        let copies = match delivery {
             0 if order % 4 == 0 => 0,
             1 | 2 => 2,
             _ => 1,
@@ -78,7 +81,7 @@
             keyed.push((order.rotate_left(copy * 7), piece.clone()));
         }
         if *other == 0 {
-            keyed.push((order.rotate_left(3), of_another(&piece)));
+            keyed.push((order.rotate_left(3), of_other_request(&piece)));
         }
     }
     keyed.sort_by_key(|(order, _)| *order);
@@ -93,7 +96,7 @@
     #![proptest_config(ProptestConfig::with_cases(2_000))]
 
     #[test]
-    fn any_arrival_gives_the_whole_or_a_fault((total, lost, pieces) in arrivals()) {
+    fn any_arrival_order_yields_the_whole_answer_or_a_fault((total, lost, pieces) in arrivals()) {
         let (out, progress) = run(&pieces);
         let expected = whole(total);
         prop_assert!(expected.starts_with(&out));
@@ -106,7 +109,7 @@
     }
 
     #[test]
-    fn a_resumed_answer_is_whole_whatever_the_dead_attempt_still_sends(
+    fn resumed_answer_ignores_pieces_of_the_broken_attempt(
         total in 1..40u64,
         cut in 0..40u64,
         stray in vec((0..60u64, any::<bool>()), 0..20),
@@ -135,7 +138,7 @@
 }
 
 #[test]
-fn pieces_in_order_pass_at_once() {
+fn pieces_in_order_are_delivered_immediately() {
     let mut assembly = Assembly::open(REQUEST, 1);
     let mut out = Vec::new();
     for position in 0..3 {
@@ -145,7 +148,7 @@
 }
 
 #[test]
-fn every_fault_is_explicit() {
+fn each_incomplete_answer_reports_its_fault() {
     let cases = [
         ("no end", vec![token(0)]),
         ("nothing at all", vec![]),
@@ -167,7 +170,7 @@
 }
 
 #[test]
-fn a_gap_that_closes_in_time_does_no_harm() {
+fn gap_filled_before_the_timeout_keeps_the_answer_open() {
     let mut assembly = Assembly::open(REQUEST, 1);
     let mut out = Vec::new();
     assembly.push(token(1), Time::ZERO, &mut out);
--- a/decision/outcome/tests/it/at_most_once.rs
+++ b/decision/outcome/tests/it/at_most_once.rs
@@ -1,4 +1,9 @@
-//! Every crash point of entry, agent, upstream and control, alone and in pairs.
+//! Exhaustive exploration of single faults and pairs of faults of entries, agents,
+//! upstreams and the journal.
+//!
+//! Guards against a second run of a request and against "not run" for a request that
+//! ran, when a crash, a broken connection or a delayed message hits any step. Two tests
+//! with a defect injected on purpose check that the exploration detects such runs.
 
 use std::collections::HashSet;
 use std::collections::hash_map::DefaultHasher;
@@ -8,9 +13,9 @@
 use pimentotide_model::Ran;
 use pimentotide_outcome::Answer;
 
-use crate::world::{Broken, Step, World};
+use crate::world::{Defect, Step, World};
 
-/// Steps after which a path without faults must have come to its end.
+/// Number of steps within which a path without faults must end.
 const MAX_QUIET_STEPS: usize = 64;
 
 struct Report {
@@ -18,7 +23,7 @@
     violation: Option<(String, Vec<Step>)>,
 }
 
-/// Steps that led to a state, the last one first.
+/// Steps that lead to a state, as a list from the last one backwards.
 struct Path {
     step: Step,
     before: Option<Rc<Path>>,
@@ -48,7 +53,10 @@
         if !seen.insert(hash_of(&world, faults)) {
             continue;
         }
-        let violation = world.violation.clone().or_else(|| retry_in_peace(&world));
+        let violation = world
+            .violation
+            .clone()
+            .or_else(|| check_retry_without_faults(&world));
         if let Some(violation) = violation {
             let violation = Some((violation, steps_of(path)));
             let states = seen.len();
@@ -69,13 +77,13 @@
     }
 }
 
-/// Retries through a third entry once nothing else moves.
-fn retry_in_peace(world: &World) -> Option<String> {
+/// Retries through another entry once no other step is possible without a fault.
+fn check_retry_without_faults(world: &World) -> Option<String> {
     if !world.steps(false).iter().all(|s| *s == Step::Retry) {
         return None;
     }
     let mut world = world.clone();
-    let told = world.outcome_told();
+    let answered = world.outcome_answered();
     let entry = world.request();
     for _ in 0..MAX_QUIET_STEPS {
         let steps = world.steps(false);
@@ -88,51 +96,53 @@
         return world.violation;
     }
     match world.answer(entry) {
-        None => Some("a retry got no answer".to_owned()),
-        // A key that an entry made up keeps no answer, but still says that it ran.
+        None => Some("a retry received no answer".to_owned()),
+        // A generated key keeps no answer, but the failure states that the request ran.
         Some(Answer::Failure(f)) if world.generated && f.ran == Ran::Yes => None,
-        Some(Answer::Failure(failure)) if told => Some(format!("answer forgotten: {failure}")),
+        Some(Answer::Failure(failure)) if answered => {
+            Some(format!("a delivered answer was lost: {failure}"))
+        }
         Some(_) => None,
     }
 }
 
-fn assert_holds(report: &Report) {
+fn assert_no_violation(report: &Report) {
     if let Some((violation, path)) = &report.violation {
         panic!("{violation} after {path:#?}");
     }
 }
 
 #[test]
-fn one_request_runs_at_most_once_under_any_two_faults() {
-    let report = explore(World::new(true, Broken::Nothing), 2);
-    assert_holds(&report);
+fn request_runs_at_most_once_under_any_two_faults() {
+    let report = explore(World::new(true, Defect::None), 2);
+    assert_no_violation(&report);
     println!("{} states", report.states);
 }
 
 #[test]
-fn a_retry_elsewhere_runs_nothing_twice_under_any_fault() {
-    let report = explore(World::new(false, Broken::Nothing), 1);
-    assert_holds(&report);
+fn retry_through_another_entry_runs_at_most_once_under_any_fault() {
+    let report = explore(World::new(false, Defect::None), 1);
+    assert_no_violation(&report);
     println!("{} states", report.states);
 }
 
 #[test]
-fn a_retry_elsewhere_runs_nothing_twice_under_any_two_faults() {
-    let report = explore(World::new(false, Broken::Nothing), 2);
-    assert_holds(&report);
+fn retry_through_another_entry_runs_at_most_once_under_any_two_faults() {
+    let report = explore(World::new(false, Defect::None), 2);
+    assert_no_violation(&report);
     println!("{} states", report.states);
 }
 
 #[test]
-fn the_exploration_finds_agents_that_do_not_bar() {
-    let report = explore(World::new(false, Broken::Barring), 1);
+fn exploration_detects_agents_that_do_not_bar_claims() {
+    let report = explore(World::new(false, Defect::NoBarring), 1);
     let (violation, _) = report.violation.expect("a violation");
-    insta::assert_snapshot!(violation, @"a second run");
+    insta::assert_snapshot!(violation, @"the request ran twice");
 }
 
 #[test]
-fn the_exploration_finds_agents_that_reuse_an_epoch() {
-    let report = explore(World::new(false, Broken::Epoch), 1);
+fn exploration_detects_agents_that_reuse_an_epoch() {
+    let report = explore(World::new(false, Defect::ReusedEpoch), 1);
     let (violation, _) = report.violation.expect("a violation");
-    insta::assert_snapshot!(violation, @"a second run");
+    insta::assert_snapshot!(violation, @"the request ran twice");
 }
--- a/decision/outcome/tests/it/decisions.rs
+++ b/decision/outcome/tests/it/decisions.rs
@@ -1,4 +1,4 @@
-//! Tables of the decisions about broken streams and about callers that go away.
+//! Decision tables for broken streams, disconnected callers and suspected contents.
 
 use std::time::Duration;
 
@@ -21,7 +21,7 @@
     }
 }
 
-fn told(plan: &ResumePlan) -> String {
+fn describe(plan: &ResumePlan) -> String {
     match plan {
         ResumePlan::Fail(failure) => format!("fail {failure} (ran: {})", failure.ran),
         plan => format!("{plan:?}"),
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn broken_streams() {
+fn broken_stream_decisions() {
     let exporter = Some(UpstreamName::from("draft-2"));
     let wait = |seconds| Verdict::Wait(Duration::from_secs(seconds));
     let cases = [
@@ -87,21 +87,21 @@
             },
         ),
         (
-            "another suspect there",
+            "upstream runs another suspect",
             Break {
                 verdict: Verdict::Occupied,
                 ..base()
             },
         ),
         (
-            "quiet",
+            "retry delay",
             Break {
                 verdict: wait(3),
                 ..base()
             },
         ),
         (
-            "quiet past the deadline",
+            "retry delay past the deadline",
             Break {
                 verdict: wait(30),
                 ..base()
@@ -117,13 +117,13 @@
     ];
     let lines: Vec<String> = cases
         .iter()
-        .map(|(name, state)| format!("{name}: {}", told(&after_break(state, Time::ZERO))))
+        .map(|(name, state)| format!("{name}: {}", describe(&after_break(state, Time::ZERO))))
         .collect();
     insta::assert_snapshot!(lines.join("\n"));
 }
 
 #[test]
-fn callers_that_go_away_and_contents_that_are_suspected() {
+fn cancelled_and_suspected_work_decisions() {
     let mut lines = Vec::new();
     for idempotent in [true, false] {
         for sent in [false, true] {
--- a/decision/outcome/tests/it/journal.rs
+++ b/decision/outcome/tests/it/journal.rs
@@ -1,4 +1,4 @@
-//! What keys stand for, and how much of it is kept.
+//! Replies of the journal for each state of a key, and the limits on what it stores.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,7 +15,7 @@
 use proptest::collection::vec;
 use proptest::prelude::*;
 
-/// Longest snapshot of all replicated state.
+/// Maximum size of a snapshot of the replicated state.
 const MAX_SNAPSHOT_BYTES: usize = 256 << 20;
 const SECOND: Duration = Duration::from_secs(1);
 
@@ -74,7 +74,7 @@
     Command::Settle { held, outcome }
 }
 
-fn told(reply: &Reply) -> String {
+fn describe(reply: &Reply) -> String {
     match reply {
         Reply::Recorded(outcome) => format!("Recorded({})", outcome.status),
         Reply::Running { claim, since, .. } => format!("Running({claim}, {since})"),
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn what_a_key_stands_for() {
+fn replies_for_each_state_of_a_key() {
     let mut journal = Journal::default();
     let lost = |key| Command::Lose {
         held: held("kumasi", key, 3),
@@ -107,7 +107,7 @@
         ),
         ("retry of a lost one", claim("kumasi", "b", "x", 7)),
         ("late answer", settle(held("kumasi", "b", 3), 5)),
-        ("retry of the found one", claim("kumasi", "b", "x", 8)),
+        ("retry after the late answer", claim("kumasi", "b", "x", 8)),
         ("claim c", claim("kumasi", "c", "x", 9)),
         ("release", Command::Release(held("kumasi", "c", 4))),
         ("release again", Command::Release(held("kumasi", "c", 4))),
@@ -120,13 +120,13 @@
     ];
     let lines: Vec<String> = script
         .iter()
-        .map(|(name, command)| format!("{name}: {}", told(&journal.apply(command, Time::ZERO))))
+        .map(|(name, command)| format!("{name}: {}", describe(&journal.apply(command, Time::ZERO))))
         .collect();
     insta::assert_snapshot!(lines.join("\n"));
 }
 
 #[test]
-fn windows_by_count_bytes_and_age() {
+fn windows_are_bounded_by_count_bytes_and_age() {
     let mut journal = Journal::with_limits(limits());
     let mut lines = Vec::new();
     let mut now = Time::ZERO;
@@ -137,7 +137,7 @@
         if let Reply::Granted(claim) = reply {
             journal.apply(&settle(held("kumasi", key, claim.0), 10), at);
         }
-        told(&reply)
+        describe(&reply)
     };
     for key in ["a", "b", "c", "d", "e", "f", "g"] {
         now += SECOND;
@@ -158,11 +158,11 @@
 }
 
 #[test]
-fn overdue_claims_become_unknown_and_empty_workspaces_go() {
+fn overdue_claims_become_unknown_and_empty_workspaces_are_removed() {
     let mut journal = Journal::with_limits(limits());
     let at = |seconds| Time::ZERO + SECOND * seconds;
     let mut lines = Vec::new();
-    let mut note = |name: &str, reply: &Reply| lines.push(format!("{name}: {}", told(reply)));
+    let mut note = |name: &str, reply: &Reply| lines.push(format!("{name}: {}", describe(reply)));
     note(
         "claim",
         &journal.apply(&claim("kumasi", "a", "x", 1), at(0)),
@@ -194,9 +194,11 @@
     insta::assert_snapshot!(lines.join("\n"));
 }
 
-/// Keys a to d ask for one content; the upstream dies while it runs a, then c.
+/// Keys a to d have the same content; the upstream crashes while it runs a, then c.
+///
+/// Guards against a third crash: the content has to run alone and is then refused.
 #[test]
-fn claims_of_a_suspected_content() {
+fn suspected_content_runs_alone_and_is_refused_after_two_crashes() {
     let mut journal = Journal::default();
     let lost = |key, claim| Command::Lose {
         held: held("kumasi", key, claim),
@@ -205,14 +207,14 @@
     let script = [
         (0, "a", claim("kumasi", "a", "x", 1)),
         (0, "b", claim("kumasi", "b", "x", 2)),
-        (1, "a dies", lost("a", 1)),
-        (1, "c in the quiet time", claim("kumasi", "c", "x", 3)),
+        (1, "a crashes", lost("a", 1)),
+        (1, "c in the retry delay", claim("kumasi", "c", "x", 3)),
         (4, "c while b runs", claim("kumasi", "c", "x", 3)),
         (5, "b did not run", Command::Release(held("kumasi", "b", 2))),
         (5, "c", claim("kumasi", "c", "x", 3)),
         (5, "d while c runs", claim("kumasi", "d", "x", 4)),
         (5, "other content", claim("kumasi", "e", "y", 5)),
-        (6, "c dies", lost("c", 3)),
+        (6, "c crashes", lost("c", 3)),
         (6, "d", claim("kumasi", "d", "x", 4)),
         (605, "d", claim("kumasi", "d", "x", 4)),
         (606, "d", claim("kumasi", "d", "x", 4)),
@@ -221,14 +223,14 @@
         .iter()
         .map(|(seconds, name, command)| {
             let reply = journal.apply(command, Time::ZERO + SECOND * *seconds);
-            format!("{name} at {seconds} s: {}", told(&reply))
+            format!("{name} at {seconds} s: {}", describe(&reply))
         })
         .collect();
     insta::assert_snapshot!(lines.join("\n"));
 }
 
 #[test]
-fn an_answer_too_large_to_repeat_leaves_its_digest() {
+fn oversized_answer_is_recorded_as_a_digest() {
     let largest = usize::try_from(MAX_RECORDED_BYTES).unwrap() - "etag7".len();
     assert_eq!(outcome(largest).bounded(), outcome(largest));
     let bounded = outcome(largest + 1).bounded();
@@ -236,7 +238,7 @@
     assert!(bounded.size() < 100);
 }
 
-/// Fills a workspace with the longest names, keys and answers that are kept.
+/// Fills a workspace with names, keys and answers of maximum size.
 fn fill_workspace(journal: &mut Journal, limits: &Limits) {
     let workspace = "w".repeat(128);
     for i in 0..limits.keys + limits.running {
@@ -258,7 +260,7 @@
 }
 
 #[test]
-fn a_full_journal_fits_into_a_snapshot() {
+fn full_journal_fits_into_a_snapshot() {
     let limits = Limits::default();
     let mut journal = Journal::default();
     fill_workspace(&mut journal, &limits);
@@ -275,8 +277,8 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(500))]
 
-    /// No key runs twice within the shortest window, whatever one workspace does,
-    /// and what is kept stays within its bounds.
+    /// No key is granted twice within the shortest retention, whatever another workspace
+    /// does, and the number of keys stays within the limits.
     #[test]
     fn windows_are_bounded_and_never_grant_twice(
         steps in vec((0..3usize, 0..12u8, 0..4u8, 0..30u64), 0..200),
--- a/decision/outcome/tests/it/ledger.rs
+++ b/decision/outcome/tests/it/ledger.rs
@@ -1,4 +1,7 @@
-//! The agent's memory stays bounded and never calls a forgotten claim "not run".
+//! The agent's ledger stays bounded and never reports an evicted claim as not run.
+//!
+//! Guards against a second run of a claim, and against "not run" for a claim that ran
+//! and was evicted from the ledger by its limits.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -44,8 +47,8 @@
     Finish(u64, usize),
     Refuse(u64),
     Inquire(u64),
-    Died,
-    Pass(u64),
+    Crash,
+    Advance(u64),
 }
 
 fn calls() -> impl Strategy<Value = Vec<Call>> {
@@ -55,8 +58,8 @@
         3 => (claim.clone(), 0..40usize).prop_map(|(c, b)| Call::Finish(c, b)),
         1 => claim.clone().prop_map(Call::Refuse),
         2 => claim.prop_map(Call::Inquire),
-        1 => Just(Call::Died),
-        1 => (1..40u64).prop_map(Call::Pass),
+        1 => Just(Call::Crash),
+        1 => (1..40u64).prop_map(Call::Advance),
     ];
     vec(call, 0..120)
 }
@@ -65,7 +68,7 @@
     #![proptest_config(ProptestConfig::with_cases(2_000))]
 
     #[test]
-    fn a_claim_runs_once_and_no_run_is_denied(calls in calls()) {
+    fn claim_runs_at_most_once_and_is_never_reported_as_not_run(calls in calls()) {
         let mut ledger = ledger();
         let mut now = Time::ZERO;
         let mut runs = [0u32; 30];
@@ -92,8 +95,8 @@
                         prop_assert_eq!(runs[usize::try_from(c).unwrap()], 0);
                     }
                 }
-                Call::Died => { ledger.upstream_died(now); }
-                Call::Pass(seconds) => now += Duration::from_secs(seconds),
+                Call::Crash => { ledger.upstream_died(now); }
+                Call::Advance(seconds) => now += Duration::from_secs(seconds),
             }
             prop_assert!(ledger.len() <= LIMITS.closed + running);
         }
@@ -101,10 +104,10 @@
 }
 
 #[test]
-fn what_a_claim_is_told() {
+fn replies_to_claims_and_inquiries() {
     let mut lines = Vec::new();
     let mut ledger = ledger();
-    let mut note = |what: &str, told: String| lines.push(format!("{what}: {told}"));
+    let mut note = |name: &str, reply: String| lines.push(format!("{name}: {reply}"));
     let now = Time::ZERO;
     note(
         "first",
@@ -115,11 +118,11 @@
         format!("{:?}", ledger.begin(ClaimId(5), &place(1, 1), now)),
     );
     note(
-        "asked",
+        "inquiry",
         format!("{:?}", ledger.inquire(ClaimId(5), &place(1, 1), now)),
     );
     note(
-        "unseen",
+        "inquiry before the claim",
         format!("{:?}", ledger.inquire(ClaimId(6), &place(1, 1), now)),
     );
     note(
@@ -131,34 +134,34 @@
         format!("{:?}", ledger.begin(ClaimId(7), &place(0, 1), now)),
     );
     note(
-        "old epoch asked",
+        "old epoch inquiry",
         format!("{:?}", ledger.inquire(ClaimId(7), &place(0, 1), now)),
     );
-    note("died", format!("{:?}", ledger.upstream_died(now)));
+    note("crash", format!("{:?}", ledger.upstream_died(now)));
     ledger.upstream_started(Incarnation(2));
     note(
-        "dead asked",
+        "crashed inquiry",
         format!("{:?}", ledger.inquire(ClaimId(5), &place(1, 1), now)),
     );
     note(
-        "old start",
+        "old incarnation",
         format!("{:?}", ledger.begin(ClaimId(8), &place(1, 1), now)),
     );
     note(
-        "new start",
+        "new incarnation",
         format!("{:?}", ledger.begin(ClaimId(9), &place(1, 2), now)),
     );
     let later = now + LIMITS.age;
     note(
-        "closes the old",
+        "evicts the old",
         format!("{:?}", ledger.inquire(ClaimId(20), &place(1, 2), later)),
     );
     note(
-        "forgotten",
+        "evicted",
         format!("{:?}", ledger.begin(ClaimId(4), &place(1, 2), later)),
     );
     note(
-        "forgotten asked",
+        "evicted inquiry",
         format!("{:?}", ledger.inquire(ClaimId(5), &place(1, 1), later)),
     );
     insta::assert_snapshot!(lines.join("\n"));
--- a/decision/outcome/tests/it/life.rs
+++ b/decision/outcome/tests/it/life.rs
@@ -1,4 +1,7 @@
-//! Deaths told from lost connections.
+//! Crashes of an upstream are distinguished from lost connections.
+//!
+//! Guards against a crash that is missed because an announcement sent before the
+//! crash is received after the request broke.
 
 use pimentotide_model::Incarnation;
 use pimentotide_outcome::SignOfLife;
@@ -6,7 +9,7 @@
 const OLD: Incarnation = Incarnation(7);
 const NEW: Incarnation = Incarnation(8);
 
-/// Verdicts after each of the starts that are announced after a break.
+/// Returns the verdict after each incarnation announced after a break.
 fn verdicts(announced: &[Incarnation]) -> Vec<Option<bool>> {
     let mut life = SignOfLife::default();
     life.announced(OLD);
@@ -19,22 +22,22 @@
 }
 
 #[test]
-fn an_announcement_sent_before_the_death_does_not_hide_it() {
+fn announcement_sent_before_the_crash_does_not_rule_it_out() {
     assert_eq!(verdicts(&[OLD, NEW]), [None, Some(true)]);
 }
 
 #[test]
-fn a_newer_start_proves_the_death() {
+fn newer_incarnation_proves_a_crash() {
     assert_eq!(verdicts(&[NEW]), [Some(true)]);
 }
 
 #[test]
-fn an_upstream_that_goes_on_announcing_its_start_lives() {
+fn second_announcement_of_the_same_incarnation_rules_out_a_crash() {
     assert_eq!(verdicts(&[OLD, OLD]), [None, Some(false)]);
 }
 
 #[test]
-fn a_start_announced_before_the_break_was_noticed_counts() {
+fn newer_incarnation_announced_before_the_break_was_noticed_proves_a_crash() {
     let mut life = SignOfLife::default();
     life.announced(NEW);
     assert_eq!(life.has_died(life, OLD), Some(true));
--- a/decision/outcome/tests/it/main.rs
+++ b/decision/outcome/tests/it/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the outcome package.
+//! Integration tests of the outcome package.
 
 mod assembly;
 mod at_most_once;
--- a/decision/outcome/tests/it/suspicion.rs
+++ b/decision/outcome/tests/it/suspicion.rs
@@ -1,4 +1,7 @@
-//! A request that crashes what runs it is found after two crashes, and only that one.
+//! A content that crashes upstreams is refused after two crashes, and no other content.
+//!
+//! Guards against a content that crashes one upstream after another through retries,
+//! and against refusals of contents that merely ran beside it or in a failed zone.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -12,10 +15,10 @@
 
 const ENTRIES: usize = 9;
 const UPSTREAMS: usize = 6;
-const INNOCENTS: usize = 12;
+const HARMLESS_CONTENTS: usize = 12;
 const STEP: Duration = Duration::from_millis(100);
-/// Time after which a caller that was answered has asked again everywhere.
-const RESEND: Duration = Duration::from_secs(1);
+/// Time after which the caller resends through all entries if their views lag.
+const RESEND_DELAY: Duration = Duration::from_secs(1);
 const MAX_STEPS: usize = 3_000;
 
 fn content(i: usize) -> Fingerprint {
@@ -47,15 +50,15 @@
     }
 }
 
-/// One copy of a content at an entry; content 0 crashes what runs it.
+/// One copy of a content at an entry; content 0 crashes the upstream that runs it.
 #[derive(Clone, Debug)]
 struct Copy {
     content: usize,
     request: usize,
     due: Time,
-    /// Whether its entry has seen it crash.
-    known: bool,
-    /// Whether it was admitted after it came under suspicion.
+    /// Whether its entry observed its crash.
+    crash_observed: bool,
+    /// Whether it was admitted after it became a suspect.
     admitted: bool,
 }
 
@@ -65,7 +68,7 @@
     running: Vec<Copy>,
 }
 
-/// Nine entries with views that lag, upstreams and the committed suspicion.
+/// Entries with a lagging view, upstreams and the committed suspicion.
 struct Fleet {
     now: Time,
     suspicion: Suspicion,
@@ -77,17 +80,17 @@
     refused: BTreeSet<usize>,
     done: BTreeSet<usize>,
     resent: bool,
-    dice: Vec<u32>,
+    draws: Vec<u32>,
     drawn: usize,
 }
 
 impl Fleet {
-    fn new(lag: usize, dice: Vec<u32>) -> Self {
-        let queue = (0..=INNOCENTS).map(|content| Copy {
+    fn new(lag: usize, draws: Vec<u32>) -> Self {
+        let queue = (0..=HARMLESS_CONTENTS).map(|content| Copy {
             content,
             request: content,
             due: Time::ZERO,
-            known: false,
+            crash_observed: false,
             admitted: false,
         });
         Self {
@@ -101,15 +104,15 @@
             refused: BTreeSet::new(),
             done: BTreeSet::new(),
             resent: false,
-            dice,
+            draws,
             drawn: 0,
         }
     }
 
-    fn draw(&mut self, sides: usize) -> usize {
+    fn draw(&mut self, bound: usize) -> usize {
         self.drawn += 1;
-        let die = self.dice[self.drawn % self.dice.len()] as usize;
-        die.wrapping_mul(self.drawn.wrapping_mul(2_654_435_761) | 1) / 7 % sides
+        let value = self.draws[self.drawn % self.draws.len()] as usize;
+        value.wrapping_mul(self.drawn.wrapping_mul(2_654_435_761) | 1) / 7 % bound
     }
 
     fn run(&mut self) {
@@ -123,12 +126,12 @@
         }
     }
 
-    /// What the entries have heard of so far.
+    /// Returns the suspects that the entries have received so far.
     fn view(&self) -> &BTreeSet<Fingerprint> {
         &self.history[self.history.len().saturating_sub(1 + self.lag)]
     }
 
-    /// Stops the copies in flight that were started before the suspicion was heard of.
+    /// Stops the copies in flight that started before the entries received the suspicion.
     fn stop_suspects(&mut self) {
         let view = self.view().clone();
         for upstream in &mut self.upstreams {
@@ -148,7 +151,7 @@
     fn place(&mut self, mut copy: Copy) {
         copy.admitted = false;
         let first = self.draw(UPSTREAMS);
-        if !copy.known && !self.view().contains(&content(copy.content)) {
+        if !copy.crash_observed && !self.view().contains(&content(copy.content)) {
             return self.start(copy, first);
         }
         for i in (0..UPSTREAMS).map(|i| (first + i) % UPSTREAMS) {
@@ -218,24 +221,24 @@
         self.upstreams[i].incarnation += 1;
         for mut copy in running {
             copy.due = self.now;
-            copy.known = true;
+            copy.crash_observed = true;
             self.queue.push(copy);
         }
         self.resend_everywhere();
     }
 
-    /// The caller of content 0 sends it again through all entries at once, and
-    /// once through an entry that has not heard of the crash.
+    /// Resends content 0 through all entries at once, and once through an entry that
+    /// has not received the report of the crash.
     fn resend_everywhere(&mut self) {
         if std::mem::replace(&mut self.resent, true) {
             return;
         }
-        let wait = if self.lag == 0 { STEP } else { RESEND };
+        let wait = if self.lag == 0 { STEP } else { RESEND_DELAY };
         let stray = Copy {
             content: 0,
             request: 2_000,
             due: self.now,
-            known: false,
+            crash_observed: false,
             admitted: false,
         };
         self.queue.push(stray);
@@ -244,7 +247,7 @@
                 content: 0,
                 request: 1_000 + entry,
                 due: self.now + wait,
-                known: false,
+                crash_observed: false,
                 admitted: false,
             });
         }
@@ -255,29 +258,32 @@
     #![proptest_config(ProptestConfig::with_cases(200))]
 
     #[test]
-    fn two_crashes_at_most_and_no_innocent_refused(
+    fn only_the_crashing_content_is_refused_after_at_most_two_crashes(
         lag in 0..10usize,
-        dice in vec(any::<u32>(), 16..64),
+        draws in vec(any::<u32>(), 16..64),
     ) {
-        let mut fleet = Fleet::new(lag, dice);
+        let mut fleet = Fleet::new(lag, draws);
         fleet.run();
         prop_assert!(fleet.crashes <= 2, "{} crashes", fleet.crashes);
         prop_assert_eq!(fleet.refused, BTreeSet::from([0]));
-        prop_assert_eq!(fleet.done, (1..=INNOCENTS).collect::<BTreeSet<_>>());
+        prop_assert_eq!(fleet.done, (1..=HARMLESS_CONTENTS).collect::<BTreeSet<_>>());
     }
 }
 
 fn verdicts(suspicion: &Suspicion, seconds: u64) -> String {
     let at = Time::ZERO + Duration::from_secs(seconds);
-    let told = (0..6).map(|i| {
+    let verdicts = (0..6).map(|i| {
         let verdict = suspicion.verdict(content(i), ticket(i), &name(0), at);
         format!("{i}: {verdict:?}")
     });
-    format!("after {seconds} s: {}", told.collect::<Vec<_>>().join(", "))
+    format!(
+        "after {seconds} s: {}",
+        verdicts.collect::<Vec<_>>().join(", ")
+    )
 }
 
 #[test]
-fn the_death_of_a_zone_is_no_evidence_against_requests() {
+fn failure_of_a_zone_excuses_its_requests() {
     let mut suspicion = Suspicion::default();
     let at = Time::from_millis;
     let mut lines = Vec::new();
@@ -291,7 +297,7 @@
 }
 
 #[test]
-fn one_content_that_crashes_three_upstreams_of_a_zone_is_not_excused() {
+fn content_common_to_all_crashes_of_a_zone_is_not_excused() {
     let mut suspicion = Suspicion::default();
     for (i, upstream) in [0, 3, 6].into_iter().enumerate() {
         suspicion.report(&crash(upstream, 1, &[0, i + 1], Witness::Agent), Time::ZERO);
@@ -300,7 +306,7 @@
 }
 
 #[test]
-fn a_lost_instance_counts_only_when_it_happens_again() {
+fn single_lost_instance_does_not_count_as_a_crash() {
     let mut suspicion = Suspicion::default();
     let mut lines = Vec::new();
     suspicion.report(&crash(0, 1, &[0, 1], Witness::Entry), Time::ZERO);
@@ -316,7 +322,7 @@
 }
 
 #[test]
-fn memory_of_crashes_is_bounded() {
+fn crash_history_is_bounded() {
     let mut suspicion = Suspicion::default();
     let many: Vec<usize> = (0..700).collect();
     for i in 0..400 {
--- a/decision/outcome/tests/it/world.rs
+++ b/decision/outcome/tests/it/world.rs
@@ -1,7 +1,7 @@
-//! Small model of entries, agents and control for exhaustive exploration.
+//! Model of entries, agents and the journal for exhaustive exploration.
 //!
-//! The ledger of runs in here is the model's own: it counts starts of work at
-//! the upstreams and knows nothing of claims.
+//! The model counts the runs at the upstreams itself, independently of claims, so
+//! that a fault in the claims cannot hide a second run.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -17,21 +17,21 @@
     Finding, Intent, Journal, LedgerEpoch, LedgerLimits, NotRun, Outcome, Place, Reply,
 };
 
-/// Upstreams, each with an agent.
+/// Number of upstreams, each with an agent.
 pub(crate) const UPSTREAMS: usize = 2;
-/// Inquiries of one entry that find no end, before it has to wait for one.
+/// Maximum number of inquiries of an entry while the claim runs or its agent is down.
 const MAX_POLLS: u32 = 2;
 
-/// Rules that a test may break on purpose.
+/// Defects that a test injects on purpose.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Hash)]
-pub(crate) enum Broken {
-    /// None.
+pub(crate) enum Defect {
+    /// No defect.
     #[default]
-    Nothing,
-    /// Agents forget instead of barring what they are asked about.
-    Barring,
-    /// Agents restart under the epoch that they had.
-    Epoch,
+    None,
+    /// Agents do not bar the claims that they receive an inquiry about.
+    NoBarring,
+    /// Agents restart under their previous epoch.
+    ReusedEpoch,
 }
 
 #[derive(Clone, Debug, Hash)]
@@ -43,54 +43,54 @@
     running: Vec<Run>,
 }
 
-/// Work that an upstream is doing.
+/// Work that an upstream runs.
 #[derive(Clone, Debug, Hash)]
 struct Run {
     claim: ClaimId,
     entry: usize,
-    /// Whether this agent process saw it start.
-    known: bool,
-    /// Whether the entry that sent it still waits on its connection.
+    /// Whether the current agent process started it.
+    tracked: bool,
+    /// Whether the connection of the sending entry is open.
     connected: bool,
 }
 
-/// Something on its way that can be delivered.
+/// Message in flight.
 #[derive(Clone, Debug, PartialEq, Hash)]
 pub(crate) enum Message {
     Choose(usize, u32),
     Propose(usize, Box<Command>),
-    /// A proposal that its entry has given up on and that may still commit.
-    Ghost(Box<Command>),
+    /// A proposal that timed out at its entry and may still commit.
+    DelayedProposal(Box<Command>),
     Send(usize, ClaimRef, Place),
-    /// A send whose connection broke at the entry and that may still arrive.
-    GhostSend(ClaimRef, Place),
+    /// A send whose connection broke at the entry and which may still arrive.
+    DelayedSend(ClaimRef, Place),
     Inquire(usize, ClaimRef, Place),
 }
 
 impl Message {
-    /// Entry that waits for it; each waits for one message at most.
+    /// Returns the entry that waits for it; each waits for at most one message.
     fn entry(&self) -> usize {
         match self {
             Self::Choose(entry, _)
             | Self::Propose(entry, _)
             | Self::Send(entry, ..)
             | Self::Inquire(entry, ..) => *entry,
-            Self::Ghost(_) | Self::GhostSend(..) => usize::MAX,
+            Self::DelayedProposal(_) | Self::DelayedSend(..) => usize::MAX,
         }
     }
 }
 
-/// One possible next step.
+/// Next step of the model.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum Step {
     Deliver(usize),
-    LoseBefore(usize),
-    LoseAfter(usize),
+    DropProposal(usize),
+    DropReply(usize),
     Delay(usize),
     Refuse(usize),
     DropSend(usize),
     Sever(usize),
-    Unreached(usize),
+    Unreachable(usize),
     Withdraw(usize),
     MisreportGone(usize),
     Disconnect(usize, usize),
@@ -105,7 +105,7 @@
 }
 
 impl Step {
-    /// Whether the step is a fault and counts against the budget.
+    /// Returns whether the step counts against the number of faults.
     pub(crate) fn is_fault(&self) -> bool {
         !matches!(
             self,
@@ -131,12 +131,12 @@
     owners: BTreeMap<ClaimId, usize>,
     pub(crate) runs: u32,
     pub(crate) generated: bool,
-    broken: Broken,
+    defect: Defect,
     pub(crate) violation: Option<String>,
 }
 
 impl World {
-    pub(crate) fn new(generated: bool, broken: Broken) -> Self {
+    pub(crate) fn new(generated: bool, defect: Defect) -> Self {
         let mut world = Self {
             journal: Journal::default(),
             agents: (0..UPSTREAMS).map(|_| Agent::new()).collect(),
@@ -145,14 +145,14 @@
             owners: BTreeMap::new(),
             runs: 0,
             generated,
-            broken,
+            defect,
             violation: None,
         };
         world.request();
         world
     }
 
-    /// Steps that are possible now; faults only if `faults` are left.
+    /// Returns the possible steps, with faults only if `faults` is set.
     pub(crate) fn steps(&self, faults: bool) -> Vec<Step> {
         let mut steps = Vec::new();
         for (i, message) in self.messages.iter().enumerate() {
@@ -180,13 +180,13 @@
     pub(crate) fn take(&mut self, step: &Step) {
         match *step {
             Step::Deliver(i) => self.deliver(i),
-            Step::LoseBefore(i) => self.lose(i, false),
-            Step::LoseAfter(i) => self.lose(i, true),
+            Step::DropProposal(i) => self.lose(i, false),
+            Step::DropReply(i) => self.lose(i, true),
             Step::Delay(i) => self.delay(i),
             Step::Refuse(i) => self.refuse(i),
             Step::DropSend(i) => self.sever(i, false),
             Step::Sever(i) => self.sever(i, true),
-            Step::Unreached(i) => self.end_inquiry(i, Event::Unreachable),
+            Step::Unreachable(i) => self.end_inquiry(i, Event::Unreachable),
             Step::Withdraw(i) | Step::MisreportGone(i) => self.end_inquiry(i, Event::Gone),
             Step::Disconnect(agent, run) => self.disconnect(agent, run),
             Step::Finish(agent, run) => self.finish(agent, run),
@@ -194,15 +194,15 @@
             Step::Restart(agent) => self.restart(agent),
             Step::Kill(agent) => self.kill(agent),
             Step::KillEntry(entry) => self.entries[entry].attempt = None,
-            Step::Deadline(entry) => self.tell(entry, Event::DeadlinePassed),
-            Step::CallerGone(entry) => self.tell(entry, Event::CallerGone),
+            Step::Deadline(entry) => self.notify(entry, Event::DeadlinePassed),
+            Step::CallerGone(entry) => self.notify(entry, Event::CallerGone),
             Step::Retry => {
                 self.request();
             }
         }
     }
 
-    /// Adds a request with the key through another entry; returns the entry.
+    /// Adds a request with the same key through a new entry and returns that entry.
     pub(crate) fn request(&mut self) -> usize {
         let entry = self.entries.len();
         let generated = self.generated && entry == 0;
@@ -220,19 +220,19 @@
         self.entries[entry].answer.as_ref()
     }
 
-    /// Whether any caller has been given the answer of the run.
-    pub(crate) fn outcome_told(&self) -> bool {
+    /// Returns whether any caller received the answer of the run.
+    pub(crate) fn outcome_answered(&self) -> bool {
         let mut answers = self.entries.iter().filter_map(|e| e.answer.as_ref());
         answers.any(|a| matches!(a, Answer::Outcome(_)))
     }
 
     fn message_steps(&self, i: usize, message: &Message, steps: &mut Vec<Step>) {
         match message {
-            Message::Choose(..) | Message::Ghost(_) | Message::GhostSend(..) => {
+            Message::Choose(..) | Message::DelayedProposal(_) | Message::DelayedSend(..) => {
                 steps.push(Step::Deliver(i));
             }
             Message::Propose(..) => {
-                let losses = [Step::LoseBefore(i), Step::LoseAfter(i), Step::Delay(i)];
+                let losses = [Step::DropProposal(i), Step::DropReply(i), Step::Delay(i)];
                 steps.push(Step::Deliver(i));
                 steps.extend(losses);
             }
@@ -246,13 +246,13 @@
                 let runs = agent
                     .running
                     .iter()
-                    .any(|r| r.claim == held.claim && r.known);
-                let endless = runs || !agent.alive;
-                if !endless || self.entries[*entry].polls < MAX_POLLS {
+                    .any(|r| r.claim == held.claim && r.tracked);
+                let unresolved = runs || !agent.alive;
+                if !unresolved || self.entries[*entry].polls < MAX_POLLS {
                     steps.push(Step::Deliver(i));
                 }
                 if agent.alive {
-                    steps.extend([Step::Unreached(i), Step::MisreportGone(i)]);
+                    steps.extend([Step::Unreachable(i), Step::MisreportGone(i)]);
                 } else {
                     steps.push(Step::Withdraw(i));
                 }
@@ -265,16 +265,16 @@
             Message::Choose(entry, attempt) => self.choose(entry, attempt),
             Message::Propose(entry, command) => {
                 let reply = self.apply(entry, &command);
-                self.tell(entry, Event::Committed(reply));
+                self.notify(entry, Event::Committed(reply));
             }
-            Message::Ghost(command) => {
+            Message::DelayedProposal(command) => {
                 self.journal.apply(&command, Time::ZERO);
             }
             Message::Send(entry, held, place) => {
                 let event = self.arrive(entry, &held, &place, true);
-                event.into_iter().for_each(|e| self.tell(entry, e));
+                event.into_iter().for_each(|e| self.notify(entry, e));
             }
-            Message::GhostSend(held, place) => {
+            Message::DelayedSend(held, place) => {
                 self.arrive(usize::MAX, &held, &place, true);
             }
             Message::Inquire(entry, held, place) => self.inquire(entry, &held, &place),
@@ -288,7 +288,7 @@
             Some(i) => Event::Chosen(self.agents[i].place(i)),
             None => Event::NoPlace(Failure::new(ErrorKind::NoUpstream, "none")),
         };
-        self.tell(entry, event);
+        self.notify(entry, event);
     }
 
     fn apply(&mut self, entry: usize, command: &Command) -> Reply {
@@ -306,21 +306,21 @@
         if applied {
             self.apply(entry, &command);
         }
-        self.tell(entry, Event::Unconfirmed);
+        self.notify(entry, Event::Unconfirmed);
     }
 
     fn delay(&mut self, i: usize) {
         let Message::Propose(entry, command) = self.messages.remove(i) else {
             return;
         };
-        self.messages.push(Message::Ghost(command));
-        self.tell(entry, Event::Unconfirmed);
+        self.messages.push(Message::DelayedProposal(command));
+        self.notify(entry, Event::Unconfirmed);
     }
 
     fn refuse(&mut self, i: usize) {
         if let Message::Send(entry, held, place) = self.messages.remove(i) {
             let event = self.arrive(entry, &held, &place, false);
-            event.into_iter().for_each(|e| self.tell(entry, e));
+            event.into_iter().for_each(|e| self.notify(entry, e));
         }
     }
 
@@ -329,14 +329,14 @@
             return;
         };
         if arrives {
-            self.messages.push(Message::GhostSend(held, place));
+            self.messages.push(Message::DelayedSend(held, place));
         }
-        self.tell(entry, Event::Broken);
+        self.notify(entry, Event::Broken);
     }
 
     fn end_inquiry(&mut self, i: usize, event: Event) {
         if let Message::Inquire(entry, ..) = self.messages.remove(i) {
-            self.tell(entry, event);
+            self.notify(entry, event);
         }
     }
 
@@ -344,11 +344,11 @@
         let run = &mut self.agents[agent].running[run];
         let entry = run.entry;
         if std::mem::take(&mut run.connected) {
-            self.tell(entry, Event::Broken);
+            self.notify(entry, Event::Broken);
         }
     }
 
-    /// Hands a claim to the agent; returns what its sender hears at once.
+    /// Delivers a claim to the agent; returns the event that its sender receives at once.
     fn arrive(
         &mut self,
         entry: usize,
@@ -364,11 +364,11 @@
         match agent.ledger.begin(claim, place, Time::ZERO) {
             Begin::Run if accepted => {
                 let connected = entry != usize::MAX;
-                let known = true;
+                let tracked = true;
                 agent.running.push(Run {
                     claim,
                     entry,
-                    known,
+                    tracked,
                     connected,
                 });
                 self.count_run(claim);
@@ -388,43 +388,43 @@
         self.entries[entry].polls += 1;
         let agent = &mut self.agents[index(place)];
         if !agent.alive {
-            return self.tell(entry, Event::Unreachable);
+            return self.notify(entry, Event::Unreachable);
         }
         let before = agent.ledger.clone();
         let finding = agent.ledger.inquire(held.claim, place, Time::ZERO);
-        if self.broken == Broken::Barring && finding == Finding::NotRun(NotRun::Barred) {
+        if self.defect == Defect::NoBarring && finding == Finding::NotRun(NotRun::Barred) {
             agent.ledger = before;
         }
-        self.tell(entry, Event::Found(finding));
+        self.notify(entry, Event::Found(finding));
     }
 
     fn finish(&mut self, agent: usize, run: usize) {
         let run = self.agents[agent].running.remove(run);
-        if run.known {
+        if run.tracked {
             let end = Conclusion::Finished(outcome());
             self.agents[agent].ledger.finish(run.claim, end, Time::ZERO);
         }
         if run.connected {
-            self.tell(run.entry, Event::Answered(outcome()));
+            self.notify(run.entry, Event::Answered(outcome()));
         }
     }
 
     fn crash(&mut self, agent: usize) {
-        let dead = &mut self.agents[agent];
-        dead.incarnation += 1;
-        dead.ledger.upstream_died(Time::ZERO);
-        dead.ledger.upstream_started(Incarnation(dead.incarnation));
+        let host = &mut self.agents[agent];
+        host.incarnation += 1;
+        host.ledger.upstream_died(Time::ZERO);
+        host.ledger.upstream_started(Incarnation(host.incarnation));
         self.break_connections(agent);
         self.agents[agent].running.clear();
     }
 
     fn restart(&mut self, agent: usize) {
         self.break_connections(agent);
-        let broken = self.broken;
+        let defect = self.defect;
         let restarted = &mut self.agents[agent];
-        restarted.epoch += u64::from(broken != Broken::Epoch);
+        restarted.epoch += u64::from(defect != Defect::ReusedEpoch);
         restarted.ledger = open_ledger(restarted.epoch, restarted.incarnation);
-        restarted.running.iter_mut().for_each(|r| r.known = false);
+        restarted.running.iter_mut().for_each(|r| r.tracked = false);
     }
 
     fn kill(&mut self, agent: usize) {
@@ -439,7 +439,7 @@
         }
     }
 
-    fn tell(&mut self, entry: usize, event: Event) {
+    fn notify(&mut self, entry: usize, event: Event) {
         let Some(attempt) = &mut self.entries[entry].attempt else {
             return;
         };
@@ -473,10 +473,10 @@
         }
         match &answer {
             Answer::Failure(failure) if failure.ran == Ran::No && self.runs > 0 => {
-                self.violation = Some(format!("told \"not run\" after a run: {failure}"));
+                self.violation = Some(format!("reported \"not run\" after a run: {failure}"));
             }
-            Answer::Outcome(told) if *told != outcome() => {
-                self.violation = Some("told another answer".to_owned());
+            Answer::Outcome(delivered) if *delivered != outcome() => {
+                self.violation = Some("delivered another answer".to_owned());
             }
             _ => {}
         }
@@ -486,7 +486,7 @@
     fn count_run(&mut self, claim: ClaimId) {
         self.runs += 1;
         if self.runs > 1 {
-            self.violation = Some("a second run".to_owned());
+            self.violation = Some("the request ran twice".to_owned());
         }
         let owner = self.owners.get(&claim).map(|e| &self.entries[*e].answer);
         if let Some(Some(Answer::Failure(failure))) = owner
