--- a/app/src/agent/core.rs
+++ b/app/src/agent/core.rs
@@ -14,7 +14,7 @@
     RequestId, Revision, Time, Warmth,
 };
 use pimentotide_observe::Metrics;
-use pimentotide_outcome::{Conclusion, Finding, LedgerEpoch, SignOfLife};
+use pimentotide_outcome::{Conclusion, Finding, LedgerEpoch, Liveness};
 use pimentotide_routing::{Completed, GatePolicy, Grant, Permit as GatePermit};
 use pimentotide_upstream::{CacheChange, CacheEvent, EngineState};
 use rand::RngExt;
@@ -36,7 +36,7 @@
     clock: Clock,
     epoch: LedgerEpoch,
     /// Announcements of the upstream.
-    life: watch::Sender<SignOfLife>,
+    life: watch::Sender<Liveness>,
     /// Signs that the upstream is at work.
     signs: watch::Sender<u64>,
     announce: watch::Sender<Option<Announcement>>,
@@ -89,7 +89,7 @@
     }
 
     /// Announcements of the upstream.
-    pub(super) fn life(&self) -> watch::Receiver<SignOfLife> {
+    pub(super) fn life(&self) -> watch::Receiver<Liveness> {
         self.life.subscribe()
     }
 
@@ -158,7 +158,7 @@
         let mut inner = self.lock();
         let leaving = inner.leaving;
         self.life
-            .send_modify(|l| l.announced(Incarnation(state.started)));
+            .send_modify(|l| l.record_announcement(Incarnation(state.started)));
         let before = inner.slot.as_ref().and_then(|slot| slot.engine.progress);
         // An upstream that tells nothing of its progress is at work while it announces itself.
         if state.progress.is_none() || state.progress != before {
--- a/app/src/agent/crash.rs
+++ b/app/src/agent/crash.rs
@@ -6,7 +6,7 @@
 use pimentotide_control::Command;
 use pimentotide_instance::work::WorkOrder;
 use pimentotide_model::{Failure, Incarnation};
-use pimentotide_outcome::{Crash, SignOfLife, Witness};
+use pimentotide_outcome::{Crash, Liveness, Witness};
 use tokio::sync::OnceCell;
 
 use super::core::Core;
@@ -66,7 +66,7 @@
     async fn has_died(&self, incarnation: Incarnation) -> bool {
         let mut life = self.life();
         let at_break = *life.borrow_and_update();
-        let told = |latest: &SignOfLife| latest.has_died(at_break, incarnation);
+        let told = |latest: &Liveness| latest.has_crashed(at_break, incarnation);
         let decided = life.wait_for(|latest| told(latest).is_some());
         match tokio::time::timeout(SIGN_OF_LIFE, decided).await {
             Ok(Ok(latest)) => told(&latest).unwrap_or(true),
--- a/app/src/agent/slot.rs
+++ b/app/src/agent/slot.rs
@@ -83,7 +83,7 @@
         if engine.started > self.engine.started {
             let incarnation = Incarnation(engine.started);
             self.gate.restart(incarnation, now);
-            self.ledger.upstream_died(now);
+            self.ledger.upstream_crashed(now);
             self.ledger.upstream_started(incarnation);
             self.events.clear();
         }
--- a/decision/outcome/src/ledger.rs
+++ b/decision/outcome/src/ledger.rs
@@ -192,7 +192,7 @@
     /// Records a crash of the upstream, which ends all running claims.
     ///
     /// Returns the claims that were running.
-    pub fn upstream_died(&mut self, now: Time) -> Vec<ClaimId> {
+    pub fn upstream_crashed(&mut self, now: Time) -> Vec<ClaimId> {
         let running = self
             .claims
             .iter()
--- a/decision/outcome/src/lib.rs
+++ b/decision/outcome/src/lib.rs
@@ -6,8 +6,8 @@
 //! send, inquiry and settlement with an [`Attempt`]. After any failure, the next
 //! entry that receives the key finds the claim and queries the agent about it.
 //!
-//! An [`Assembly`] reorders streamed answers, and [`after_break`] resumes or
-//! ends a stream whose engine crashed. [`SignOfLife`] distinguishes the crash of
+//! An [`Assembly`] reorders streamed answers, and [`plan_resume`] resumes or
+//! ends a stream whose engine crashed. [`Liveness`] distinguishes the crash of
 //! an upstream from a lost connection, and [`Suspicion`] identifies by content
 //! the requests that crash upstreams.
 
@@ -18,7 +18,7 @@
 mod claim;
 mod journal;
 mod ledger;
-mod life;
+mod liveness;
 mod resume;
 mod suspicion;
 mod window;
@@ -33,7 +33,7 @@
 };
 pub use journal::{Command, Journal, Reply};
 pub use ledger::{AgentLedger, Begin, Conclusion, Finding, LedgerLimits, NotRun};
-pub use life::SignOfLife;
-pub use resume::{Break, KvSource, ResumePlan, after_break};
+pub use liveness::Liveness;
+pub use resume::{BrokenStream, KvSource, ResumePlan, plan_resume};
 pub use suspicion::{Crash, Suspicion, Verdict, Witness};
 pub use window::Limits;
--- a/decision/outcome/src/life.rs
+++ b/decision/outcome/src/liveness.rs
@@ -13,25 +13,25 @@
 
 /// Announcements received from an upstream.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct SignOfLife {
+pub struct Liveness {
     /// Incarnation in the last announcement.
-    pub start: Incarnation,
+    pub incarnation: Incarnation,
     /// Number of announcements received.
     pub count: u64,
 }
 
-impl SignOfLife {
+impl Liveness {
     /// Records one announcement.
-    pub fn announced(&mut self, start: Incarnation) {
-        self.start = start;
+    pub fn record_announcement(&mut self, incarnation: Incarnation) {
+        self.incarnation = incarnation;
         self.count += 1;
     }
 
     /// Returns whether `incarnation` has crashed, or `None` while undecided.
     ///
     /// `at_break` is the state at the time when the request broke.
-    pub fn has_died(self, at_break: Self, incarnation: Incarnation) -> Option<bool> {
-        if self.start > incarnation {
+    pub fn has_crashed(self, at_break: Self, incarnation: Incarnation) -> Option<bool> {
+        if self.incarnation > incarnation {
             Some(true)
         } else if self.count >= at_break.count + MIN_ANNOUNCEMENTS {
             Some(false)
--- a/decision/outcome/src/resume.rs
+++ b/decision/outcome/src/resume.rs
@@ -7,7 +7,7 @@
 
 /// State of a request whose stream broke.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Break {
+pub struct BrokenStream {
     /// Whether the request may run more than once.
     pub idempotent: bool,
     /// Number of tokens already sent to the caller.
@@ -57,7 +57,7 @@
 }
 
 /// Decides about a broken stream.
-pub fn after_break(state: &Break, now: Time) -> ResumePlan {
+pub fn plan_resume(state: &BrokenStream, now: Time) -> ResumePlan {
     if !state.idempotent {
         return fail(ErrorKind::StreamBroken, "the request is not idempotent");
     }
@@ -88,7 +88,7 @@
     }
 }
 
-fn resume_or_restart(state: &Break) -> ResumePlan {
+fn resume_or_restart(state: &BrokenStream) -> ResumePlan {
     if state.delivered == 0 {
         return ResumePlan::Restart;
     }
--- a/decision/outcome/tests/it/decisions.rs
+++ b/decision/outcome/tests/it/decisions.rs
@@ -4,13 +4,13 @@
 
 use pimentotide_model::{Time, UpstreamName};
 use pimentotide_outcome::{
-    Break, ResumePlan, Verdict, Work, after_break, on_caller_gone, on_suspicion,
+    BrokenStream, ResumePlan, Verdict, Work, on_caller_gone, on_suspicion, plan_resume,
 };
 
 const DEADLINE: Time = Time::from_millis(10_000);
 
-fn base() -> Break {
-    Break {
+fn base() -> BrokenStream {
+    BrokenStream {
         idempotent: true,
         delivered: 12,
         resumable: true,
@@ -34,10 +34,10 @@
     let wait = |seconds| Verdict::Wait(Duration::from_secs(seconds));
     let cases = [
         ("resume", base()),
-        ("resume from export", Break { exporter, ..base() }),
+        ("resume from export", BrokenStream { exporter, ..base() }),
         (
             "nothing delivered",
-            Break {
+            BrokenStream {
                 delivered: 0,
                 resumable: false,
                 ..base()
@@ -45,42 +45,42 @@
         ),
         (
             "not resumable",
-            Break {
+            BrokenStream {
                 resumable: false,
                 ..base()
             },
         ),
         (
             "not idempotent",
-            Break {
+            BrokenStream {
                 idempotent: false,
                 ..base()
             },
         ),
         (
             "no attempts",
-            Break {
+            BrokenStream {
                 attempts: 0,
                 ..base()
             },
         ),
         (
             "past the deadline",
-            Break {
+            BrokenStream {
                 deadline: Time::ZERO,
                 ..base()
             },
         ),
         (
             "suspected",
-            Break {
+            BrokenStream {
                 verdict: Verdict::Apart,
                 ..base()
             },
         ),
         (
             "suspected, nothing delivered",
-            Break {
+            BrokenStream {
                 verdict: Verdict::Apart,
                 delivered: 0,
                 ..base()
@@ -88,28 +88,28 @@
         ),
         (
             "upstream runs another suspect",
-            Break {
+            BrokenStream {
                 verdict: Verdict::Occupied,
                 ..base()
             },
         ),
         (
             "retry delay",
-            Break {
+            BrokenStream {
                 verdict: wait(3),
                 ..base()
             },
         ),
         (
             "retry delay past the deadline",
-            Break {
+            BrokenStream {
                 verdict: wait(30),
                 ..base()
             },
         ),
         (
             "refused",
-            Break {
+            BrokenStream {
                 verdict: Verdict::Refused(DEADLINE.since(Time::ZERO)),
                 ..base()
             },
@@ -117,7 +117,7 @@
     ];
     let lines: Vec<String> = cases
         .iter()
-        .map(|(name, state)| format!("{name}: {}", describe(&after_break(state, Time::ZERO))))
+        .map(|(name, state)| format!("{name}: {}", describe(&plan_resume(state, Time::ZERO))))
         .collect();
     insta::assert_snapshot!(lines.join("\n"));
 }
--- a/decision/outcome/tests/it/ledger.rs
+++ b/decision/outcome/tests/it/ledger.rs
@@ -95,7 +95,7 @@
                         prop_assert_eq!(runs[usize::try_from(c).unwrap()], 0);
                     }
                 }
-                Call::Crash => { ledger.upstream_died(now); }
+                Call::Crash => { ledger.upstream_crashed(now); }
                 Call::Advance(seconds) => now += Duration::from_secs(seconds),
             }
             prop_assert!(ledger.len() <= LIMITS.closed + running);
@@ -137,7 +137,7 @@
         "old epoch inquiry",
         format!("{:?}", ledger.inquire(ClaimId(7), &place(0, 1), now)),
     );
-    note("crash", format!("{:?}", ledger.upstream_died(now)));
+    note("crash", format!("{:?}", ledger.upstream_crashed(now)));
     ledger.upstream_started(Incarnation(2));
     note(
         "crashed inquiry",
--- a/decision/outcome/tests/it/life.rs
+++ b/decision/outcome/tests/it/liveness.rs
@@ -4,19 +4,19 @@
 //! crash is received after the request broke.
 
 use pimentotide_model::Incarnation;
-use pimentotide_outcome::SignOfLife;
+use pimentotide_outcome::Liveness;
 
 const OLD: Incarnation = Incarnation(7);
 const NEW: Incarnation = Incarnation(8);
 
 /// Returns the verdict after each incarnation announced after a break.
 fn verdicts(announced: &[Incarnation]) -> Vec<Option<bool>> {
-    let mut life = SignOfLife::default();
-    life.announced(OLD);
-    let at_break = life;
-    let after = announced.iter().map(|start| {
-        life.announced(*start);
-        life.has_died(at_break, OLD)
+    let mut liveness = Liveness::default();
+    liveness.record_announcement(OLD);
+    let at_break = liveness;
+    let after = announced.iter().map(|incarnation| {
+        liveness.record_announcement(*incarnation);
+        liveness.has_crashed(at_break, OLD)
     });
     after.collect()
 }
@@ -38,7 +38,7 @@
 
 #[test]
 fn newer_incarnation_announced_before_the_break_was_noticed_proves_a_crash() {
-    let mut life = SignOfLife::default();
-    life.announced(NEW);
-    assert_eq!(life.has_died(life, OLD), Some(true));
+    let mut liveness = Liveness::default();
+    liveness.record_announcement(NEW);
+    assert_eq!(liveness.has_crashed(liveness, OLD), Some(true));
 }
--- a/decision/outcome/tests/it/main.rs
+++ b/decision/outcome/tests/it/main.rs
@@ -5,6 +5,6 @@
 mod decisions;
 mod journal;
 mod ledger;
-mod life;
+mod liveness;
 mod suspicion;
 mod world;
--- a/decision/outcome/tests/it/world.rs
+++ b/decision/outcome/tests/it/world.rs
@@ -412,7 +412,7 @@
     fn crash(&mut self, agent: usize) {
         let host = &mut self.agents[agent];
         host.incarnation += 1;
-        host.ledger.upstream_died(Time::ZERO);
+        host.ledger.upstream_crashed(Time::ZERO);
         host.ledger.upstream_started(Incarnation(host.incarnation));
         self.break_connections(agent);
         self.agents[agent].running.clear();
--- a/dev/scenario/src/world/agent.rs
+++ b/dev/scenario/src/world/agent.rs
@@ -185,7 +185,7 @@
         agent.engine = start;
         agent.announcement.incarnation = incarnation;
         agent.gate.restart(incarnation, now);
-        agent.ledger.upstream_died(now);
+        agent.ledger.upstream_crashed(now);
         agent.ledger.upstream_started(incarnation);
         agent.announcer.follow(agent.announcement.clone(), now);
         agent.beat = now;
--- a/dev/scenario/src/world/flight.rs
+++ b/dev/scenario/src/world/flight.rs
@@ -7,8 +7,8 @@
     ErrorKind, Failure, Incarnation, Ran, RequestId, RequestMeta, Time, UpstreamName, ZoneName,
 };
 use pimentotide_outcome::{
-    Assembly, Break, Command as Journaled, Crash, Progress, Reply, ResumePlan, Ticket, Verdict,
-    Witness, after_break,
+    Assembly, BrokenStream, Command as Journaled, Crash, Progress, Reply, ResumePlan, Ticket,
+    Verdict, Witness, plan_resume,
 };
 use pimentotide_routing::{Admission, Finished, Placement, Ticket as Booking, Verdict as Flown};
 
@@ -397,7 +397,7 @@
             flight.tried.clear();
         }
         flight.tried.extend(upstream);
-        let state = Break {
+        let state = BrokenStream {
             idempotent: true,
             delivered: flight.assembly.delivered(),
             resumable: true,
@@ -406,7 +406,7 @@
             exporter: None,
             verdict: Verdict::Free,
         };
-        match after_break(&state, now) {
+        match plan_resume(&state, now) {
             ResumePlan::Continue { .. } | ResumePlan::Restart | ResumePlan::ChooseAgain => {
                 self.schedule(ROOM_PAUSE, Item::Flight(id));
             }
