--- a/decision/outcome/src/attempt.rs
+++ b/decision/outcome/src/attempt.rs
@@ -350,7 +350,7 @@
     fn answer_key_state(&mut self, reply: &Reply) -> Vec<Action> {
         match reply {
             Reply::Recorded(outcome) => self.replay(outcome),
-            Reply::Spent => self.fail(not_replayable("the request ran; its answer expired")),
+            Reply::Spent => self.fail(not_replayable("the request ran; its answer was removed")),
             Reply::Unknown => {
                 let detail = "whether the request ran is unknown; it will not run again";
                 self.fail(Failure::new(ErrorKind::OutcomeUnknown, detail))
