--- a/app/src/run/roles.rs
+++ b/app/src/run/roles.rs
@@ -6,7 +6,7 @@
 use actix_rt::task::JoinHandle;
 use derive_more::{Display, From};
 use pimentotide_caller::CallerError;
-use pimentotide_control::directory::Standby;
+use pimentotide_control::directory::IncarnationState;
 use pimentotide_instance::directory::{
     AgentOptions as AgentReport, AgentReporter, EntryOptions as EntryReport, EntryReporter,
     FollowOptions, Follower,
@@ -272,9 +272,9 @@
 }
 
 /// Takes the agent out of service once another process has its name.
-async fn step_back(mut standby: watch::Receiver<Standby>, agent: Arc<Agent>) {
+async fn step_back(mut standby: watch::Receiver<IncarnationState>, agent: Arc<Agent>) {
     if standby
-        .wait_for(|s| *s == Standby::Superseded)
+        .wait_for(|s| *s == IncarnationState::Superseded)
         .await
         .is_ok()
     {
--- a/decision/control/src/currency/fence.rs
+++ b/decision/control/src/currency/fence.rs
@@ -13,7 +13,7 @@
 
 impl FenceGate {
     /// Takes the floor that came with an answer of a replica.
-    pub fn learn(&mut self, floor: Fence) {
+    pub fn raise_floor(&mut self, floor: Fence) {
         self.floor = self.floor.max(Some(floor));
     }
 
--- a/decision/control/src/currency/grant.rs
+++ b/decision/control/src/currency/grant.rs
@@ -18,12 +18,17 @@
 }
 
 /// Whether there is something that the holder lacks.
-pub fn news(machine: &Machine, registry: &Registry, request: &WatchRequest, now: Time) -> bool {
+pub fn has_update(
+    machine: &Machine,
+    registry: &Registry,
+    request: &WatchRequest,
+    now: Time,
+) -> bool {
     let configuration = machine.configuration();
     let same = request.held.is_some_and(|held| {
         held.revision == configuration.revision && held.digest == configuration.digest()
     });
-    let upstreams = request.directory && registry.has_news(request.mark, now);
+    let upstreams = request.directory && registry.has_update(request.mark, now);
     !same || upstreams
 }
 
--- a/decision/control/src/currency/mod.rs
+++ b/decision/control/src/currency/mod.rs
@@ -16,22 +16,22 @@
 use std::time::Duration;
 
 pub use fence::FenceGate;
-pub use grant::{Confirmation, grant, news};
+pub use grant::{Confirmation, grant, has_update};
 pub use message::{Held, Update, WatchAnswer, WatchRequest};
 pub use rotation::Rotation;
-pub use watch::{Taken, Watch, admit};
+pub use watch::{Watch, WatchOutcome, admit};
 
 /// Time for which a confirmed configuration may be acted on.
 pub const LEASE: Duration = Duration::from_secs(3);
 
 /// Longest time for which a replica holds a request that has no news.
-pub const RENEWAL: Duration = Duration::from_millis(500);
+pub const LONG_POLL_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Age at which a replica confirms anew with a quorum.
-pub const CONFIRMATION_AGE: Duration = Duration::from_millis(250);
+pub const MAX_CONFIRMATION_AGE: Duration = Duration::from_millis(250);
 
-/// Time beyond `RENEWAL` after which a holder asks the next replica.
-pub const PATIENCE: Duration = Duration::from_millis(300);
+/// Time beyond `LONG_POLL_TIMEOUT` after which a holder asks the next replica.
+pub const LONG_POLL_MARGIN: Duration = Duration::from_millis(300);
 
 /// Pause after all replicas have failed in turn.
 pub const RETRY_PAUSE: Duration = Duration::from_millis(100);
--- a/decision/control/src/currency/watch.rs
+++ b/decision/control/src/currency/watch.rs
@@ -11,7 +11,7 @@
 
 /// What became of an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Taken {
+pub enum WatchOutcome {
     /// The lease is renewed and nothing else changed.
     Renewed,
     /// A newer configuration is in force.
@@ -33,23 +33,23 @@
 
 impl Watch {
     /// Takes an answer to a request that was sent at `sent`.
-    pub fn receive(&mut self, sent: Time, answer: &WatchAnswer) -> Taken {
+    pub fn receive(&mut self, sent: Time, answer: &WatchAnswer) -> WatchOutcome {
         let held = self.revision();
         if self.configuration.is_some() && answer.revision < held {
-            return Taken::Stale;
+            return WatchOutcome::Stale;
         }
         let Some(next) = self.follow(answer) else {
             self.damaged = true;
-            return Taken::Repair;
+            return WatchOutcome::Repair;
         };
         let changed = self.configuration.as_ref().map(Configuration::digest) != Some(next.digest());
         self.configuration = Some(next);
         self.damaged = false;
         self.expiry = self.expiry.max(sent + answer.lease.min(LEASE));
         if changed {
-            Taken::Changed
+            WatchOutcome::Changed
         } else {
-            Taken::Renewed
+            WatchOutcome::Renewed
         }
     }
 
@@ -57,7 +57,7 @@
     ///
     /// Tells whether it is newer than all that is known, so that waiting for a
     /// push is wrong.
-    pub fn hear(&mut self, revision: Revision) -> bool {
+    pub fn observe_revision(&mut self, revision: Revision) -> bool {
         let newer = revision > self.heard.max(self.revision());
         self.heard = self.heard.max(revision);
         newer
--- a/decision/control/src/declare/mod.rs
+++ b/decision/control/src/declare/mod.rs
@@ -13,4 +13,4 @@
 pub use configuration::Configuration;
 pub use document::Document;
 pub use fault::Fault;
-pub use text::{ReadError, parse_document, place, read_document, write_document};
+pub use text::{ReadError, locate_faults, parse_document, read_document, write_document};
--- a/decision/control/src/declare/text.rs
+++ b/decision/control/src/declare/text.rs
@@ -38,7 +38,7 @@
         Ok(()) => Vec::new(),
         Err(found) => found.0,
     };
-    problems.extend(place(text, check(&next)));
+    problems.extend(locate_faults(text, check(&next)));
     if problems.is_empty() {
         return Ok(document);
     }
@@ -57,7 +57,7 @@
 }
 
 /// Adds to each fault the line of its nearest key in `text`.
-pub fn place(text: &str, faults: Vec<Fault>) -> Vec<Problem> {
+pub fn locate_faults(text: &str, faults: Vec<Fault>) -> Vec<Problem> {
     if faults.is_empty() {
         return Vec::new();
     }
--- a/decision/control/src/directory/announcer.rs
+++ b/decision/control/src/directory/announcer.rs
@@ -3,11 +3,11 @@
 use pimentotide_model::{Announcement, Fence, Incarnation, Revision, Time, Warmth};
 
 use super::START_GRACE;
-use super::message::{Beat, Heard, Notice, Report};
+use super::message::{Heartbeat, Notice, Report, ReportAnswer};
 
 /// Whether the agent may go on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standby {
+pub enum IncarnationState {
     /// It is the newest incarnation known.
     Newest,
     /// Another process has taken over the name; this one takes no new work.
@@ -53,7 +53,7 @@
             };
         }
         let announcement = &self.notice.announcement;
-        Report::Beat(Beat {
+        Report::Beat(Heartbeat {
             upstream: announcement.upstream.clone(),
             incarnation: announcement.incarnation,
             sequence: self.notice.sequence,
@@ -68,22 +68,22 @@
         &mut self,
         replica: usize,
         rank: (Incarnation, u64),
-        heard: Heard,
+        heard: ReportAnswer,
         now: Time,
-    ) -> Standby {
+    ) -> IncarnationState {
         match heard {
-            Heard::Kept if rank == self.notice.rank() => self.set_kept(replica, true),
-            Heard::Kept => {}
-            Heard::Unknown | Heard::Refused => self.set_kept(replica, false),
-            Heard::Outdated { highest } => self.outdated(highest, now),
+            ReportAnswer::Kept if rank == self.notice.rank() => self.set_kept(replica, true),
+            ReportAnswer::Kept => {}
+            ReportAnswer::Unknown | ReportAnswer::Refused => self.set_kept(replica, false),
+            ReportAnswer::Outdated { highest } => self.outdated(highest, now),
         }
-        self.standby()
+        self.incarnation_state()
     }
 
     /// Takes what the agent says now; replicas get a changed announcement whole.
     ///
     /// Another incarnation than before, be it higher or lower, is a new start.
-    pub fn follow(&mut self, mut announcement: Announcement, now: Time) {
+    pub fn set_announcement(&mut self, mut announcement: Announcement, now: Time) {
         if announcement.incarnation != self.given {
             self.given = announcement.incarnation;
             self.renew(self.given.max(after(self.incarnation())));
@@ -102,7 +102,7 @@
     }
 
     /// Notes what goes with each sign of life.
-    pub fn progress(&mut self, revision: Revision, fence: Fence, warmth: Warmth) {
+    pub fn set_status(&mut self, revision: Revision, fence: Fence, warmth: Warmth) {
         self.notice.announcement.revision = revision;
         self.notice.announcement.fence = fence;
         self.warmth = warmth;
@@ -119,11 +119,11 @@
     }
 
     /// Whether the agent may go on.
-    pub fn standby(&self) -> Standby {
+    pub fn incarnation_state(&self) -> IncarnationState {
         if self.superseded {
-            Standby::Superseded
+            IncarnationState::Superseded
         } else {
-            Standby::Newest
+            IncarnationState::Newest
         }
     }
 
--- a/decision/control/src/directory/message.rs
+++ b/decision/control/src/directory/message.rs
@@ -23,7 +23,7 @@
 
 /// Sign of life of an agent whose announcement has not changed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Beat {
+pub struct Heartbeat {
     /// Upstream of the agent.
     pub upstream: UpstreamName,
     /// Incarnation announced.
@@ -63,7 +63,7 @@
         warmth: Warmth,
     },
     /// An agent is alive and unchanged.
-    Beat(Beat),
+    Beat(Heartbeat),
     /// An entry is alive.
     Entry(Presence),
 }
@@ -71,7 +71,7 @@
 /// Answer to a report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Heard {
+pub enum ReportAnswer {
     /// Kept.
     Kept,
     /// The replica lacks the announcement; send it whole.
--- a/decision/control/src/directory/mod.rs
+++ b/decision/control/src/directory/mod.rs
@@ -12,16 +12,18 @@
 
 use std::time::Duration;
 
-pub use announcer::{Announcer, Standby};
-pub use message::{Beat, Departure, Heard, Mark, Notice, Presence, RegistryUpdate, Report};
+pub use announcer::{Announcer, IncarnationState};
+pub use message::{
+    Departure, Heartbeat, Mark, Notice, Presence, RegistryUpdate, Report, ReportAnswer,
+};
 pub use registry::{Member, Registry};
 pub use view::{Event, View};
 
 /// Time between two reports of one agent or entry.
-pub const HEARTBEAT: Duration = Duration::from_millis(750);
+pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(750);
 
 /// Time without a report after which an upstream is dropped.
-pub const EXPIRY: Duration = Duration::from_secs(3);
+pub const EXPIRY_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Time after its start for which an agent may raise its own incarnation.
 pub const START_GRACE: Duration = Duration::from_secs(10);
--- a/decision/control/src/directory/registry.rs
+++ b/decision/control/src/directory/registry.rs
@@ -5,8 +5,10 @@
 
 use pimentotide_model::{Incarnation, InstanceName, Time, UpstreamName, Warmth, ZoneName};
 
-use super::message::{Beat, Departure, Heard, Mark, Notice, Presence, RegistryUpdate, Report};
-use super::{EXPIRY, MAX_DEPARTURES, MAX_ENTRIES, MAX_MEMBERS, MAX_NAMES};
+use super::message::{
+    Departure, Heartbeat, Mark, Notice, Presence, RegistryUpdate, Report, ReportAnswer,
+};
+use super::{EXPIRY_TIMEOUT, MAX_DEPARTURES, MAX_ENTRIES, MAX_MEMBERS, MAX_NAMES};
 
 /// Longest address of an agent, bytes.
 const MAX_ADDRESS_BYTES: usize = 64;
@@ -54,7 +56,7 @@
     }
 
     /// Takes a report.
-    pub fn hear(&mut self, report: Report, now: Time) -> Heard {
+    pub fn receive(&mut self, report: Report, now: Time) -> ReportAnswer {
         match report {
             Report::Whole { notice, warmth } => self.hear_notice(notice, warmth, now),
             Report::Beat(beat) => self.hear_beat(&beat, now),
@@ -74,8 +76,8 @@
             return false;
         }
         self.entries
-            .retain(|_, (_, heard)| now.since(*heard) < EXPIRY);
-        let late = |member: &Member| now.since(member.heard) >= EXPIRY;
+            .retain(|_, (_, heard)| now.since(*heard) < EXPIRY_TIMEOUT);
+        let late = |member: &Member| now.since(member.heard) >= EXPIRY_TIMEOUT;
         let gone: Vec<_> = self
             .members
             .iter()
@@ -94,7 +96,7 @@
     }
 
     /// Whether a follower at `mark` lacks something.
-    pub fn has_news(&self, mark: Option<Mark>, now: Time) -> bool {
+    pub fn has_update(&self, mark: Option<Mark>, now: Time) -> bool {
         mark != Some(self.mark(now))
     }
 
@@ -141,7 +143,7 @@
         Mark {
             epoch: self.epoch,
             version: self.version,
-            settled: now.since(self.started) >= EXPIRY,
+            settled: now.since(self.started) >= EXPIRY_TIMEOUT,
         }
     }
 
@@ -152,21 +154,21 @@
             && mark.version <= self.version
     }
 
-    fn hear_notice(&mut self, notice: Notice, warmth: Warmth, now: Time) -> Heard {
+    fn hear_notice(&mut self, notice: Notice, warmth: Warmth, now: Time) -> ReportAnswer {
         if !is_well_formed(&notice) {
-            return Heard::Refused;
+            return ReportAnswer::Refused;
         }
         let name = notice.announcement.upstream.clone();
         let known = self.members.get(&name).map(|m| m.notice.rank());
         let highest = self.highest(&name);
         if notice.announcement.incarnation < highest {
-            return Heard::Outdated { highest };
+            return ReportAnswer::Outdated { highest };
         }
         if known.is_none() && self.members.len() >= MAX_MEMBERS {
-            return Heard::Refused;
+            return ReportAnswer::Refused;
         }
         if known.is_some_and(|rank| notice.rank() < rank) {
-            return Heard::Kept;
+            return ReportAnswer::Kept;
         }
         if known.is_none() {
             self.departures.retain(|(_, d)| d.upstream != name);
@@ -183,38 +185,38 @@
             heard: now,
         };
         self.members.insert(name, member);
-        Heard::Kept
+        ReportAnswer::Kept
     }
 
-    fn hear_beat(&mut self, beat: &Beat, now: Time) -> Heard {
+    fn hear_beat(&mut self, beat: &Heartbeat, now: Time) -> ReportAnswer {
         let highest = self.highest(&beat.upstream);
         if beat.incarnation < highest {
-            return Heard::Outdated { highest };
+            return ReportAnswer::Outdated { highest };
         }
         let Some(member) = self.members.get_mut(&beat.upstream) else {
-            return Heard::Unknown;
+            return ReportAnswer::Unknown;
         };
         if member.notice.rank() != (beat.incarnation, beat.sequence) {
-            return Heard::Unknown;
+            return ReportAnswer::Unknown;
         }
         member.heard = now;
         member.warmth = beat.warmth;
         member.notice.announcement.revision = beat.revision;
         member.notice.announcement.fence = beat.fence;
-        Heard::Kept
+        ReportAnswer::Kept
     }
 
-    fn hear_entry(&mut self, presence: Presence, now: Time) -> Heard {
+    fn hear_entry(&mut self, presence: Presence, now: Time) -> ReportAnswer {
         let full = self.entries.len() >= MAX_ENTRIES;
         let known = self.entries.contains_key(&presence.instance);
         let named =
             InstanceName::is_valid(&presence.instance) && ZoneName::is_valid(&presence.zone);
         if !named || (full && !known) {
-            return Heard::Refused;
+            return ReportAnswer::Refused;
         }
         self.entries
             .insert(presence.instance.clone(), (presence, now));
-        Heard::Kept
+        ReportAnswer::Kept
     }
 
     /// Highest incarnation known of an upstream, also of one that has gone.
--- a/decision/control/tests/it/directory.rs
+++ b/decision/control/tests/it/directory.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use pimentotide_control::directory::{
-    Announcer, EXPIRY, Event, Heard, MAX_ENTRIES, MAX_MEMBERS, Notice, Presence, Registry, Report,
-    START_GRACE, Standby, View,
+    Announcer, EXPIRY_TIMEOUT, Event, IncarnationState, MAX_ENTRIES, MAX_MEMBERS, Notice, Presence,
+    Registry, Report, ReportAnswer, START_GRACE, View,
 };
 use pimentotide_model::{Announcement, Fence, Incarnation, Revision, ServiceKind, Time, Warmth};
 use proptest::prelude::*;
@@ -57,25 +57,25 @@
 fn restart_at_the_same_address_is_a_new_start() {
     let mut registry = Registry::new(1, Time::ZERO);
     let mut view = View::default();
-    registry.hear(whole("u", 1, 0), Time::ZERO);
+    registry.receive(whole("u", 1, 0), Time::ZERO);
     assert!(matches!(
         follow(&mut view, &registry, Time::ZERO)[..],
         [Event::Started(_)]
     ));
-    registry.hear(whole("u", 1, 1), Time::ZERO);
+    registry.receive(whole("u", 1, 1), Time::ZERO);
     assert!(matches!(
         follow(&mut view, &registry, Time::ZERO)[..],
         [Event::Changed(_)]
     ));
-    registry.hear(whole("u", 2, 0), Time::ZERO);
+    registry.receive(whole("u", 2, 0), Time::ZERO);
     assert!(matches!(
         follow(&mut view, &registry, Time::ZERO)[..],
         [Event::Started(_)]
     ));
     let highest = Incarnation(2);
     assert_eq!(
-        registry.hear(whole("u", 1, 2), Time::ZERO),
-        Heard::Outdated { highest }
+        registry.receive(whole("u", 1, 2), Time::ZERO),
+        ReportAnswer::Outdated { highest }
     );
     assert_eq!(follow(&mut view, &registry, Time::ZERO), vec![]);
 }
@@ -84,9 +84,9 @@
 fn silent_upstream_expires_and_its_incarnation_is_remembered() {
     let mut registry = Registry::new(1, Time::ZERO);
     let mut view = View::default();
-    registry.hear(whole("u", 5, 0), Time::ZERO);
+    registry.receive(whole("u", 5, 0), Time::ZERO);
     follow(&mut view, &registry, Time::ZERO);
-    let last = Time::ZERO + EXPIRY;
+    let last = Time::ZERO + EXPIRY_TIMEOUT;
     tick(&mut registry, Time::ZERO, last - TICK);
     assert_eq!(registry.members().count(), 1);
     tick(&mut registry, last - TICK, last);
@@ -96,17 +96,17 @@
     );
     let highest = Incarnation(5);
     assert_eq!(
-        registry.hear(whole("u", 4, 0), last),
-        Heard::Outdated { highest }
+        registry.receive(whole("u", 4, 0), last),
+        ReportAnswer::Outdated { highest }
     );
-    assert_eq!(registry.hear(whole("u", 5, 0), last), Heard::Kept);
+    assert_eq!(registry.receive(whole("u", 5, 0), last), ReportAnswer::Kept);
 }
 
 #[test]
 fn stalled_replica_drops_nobody() {
     let mut registry = Registry::new(1, Time::ZERO);
-    registry.hear(whole("u", 1, 0), Time::ZERO);
-    let late = Time::ZERO + EXPIRY * 2;
+    registry.receive(whole("u", 1, 0), Time::ZERO);
+    let late = Time::ZERO + EXPIRY_TIMEOUT * 2;
     assert!(!registry.expire(late));
     assert_eq!(registry.members().count(), 1);
     assert!(!registry.update_since(None, late).mark.settled);
@@ -116,20 +116,20 @@
 fn replica_that_has_just_started_removes_nobody() {
     let mut view = View::default();
     let mut first = Registry::new(1, Time::ZERO);
-    first.hear(whole("u1", 1, 0), Time::ZERO);
-    first.hear(whole("u2", 1, 0), Time::ZERO);
+    first.receive(whole("u1", 1, 0), Time::ZERO);
+    first.receive(whole("u2", 1, 0), Time::ZERO);
     follow(&mut view, &first, Time::ZERO);
     let start = Time::from_millis(60_000);
     let mut second = Registry::new(2, start);
-    second.hear(whole("u2", 2, 0), start);
+    second.receive(whole("u2", 2, 0), start);
     view.detach();
     assert!(matches!(
         follow(&mut view, &second, start)[..],
         [Event::Started(_)]
     ));
     assert_eq!(view.announcements().count(), 2);
-    let settled = start + EXPIRY;
-    assert!(second.has_news(view.mark(), settled));
+    let settled = start + EXPIRY_TIMEOUT;
+    assert!(second.has_update(view.mark(), settled));
     assert_eq!(
         follow(&mut view, &second, settled),
         vec![Event::Gone("u1".into())]
@@ -143,16 +143,16 @@
     let mut send = |agent: &mut Announcer, at: Time| {
         let report = agent.report(0);
         let beat = matches!(report, Report::Beat(_));
-        let heard = registry.hear(report, at);
+        let heard = registry.receive(report, at);
         agent.receive(0, agent.rank(), heard, at);
         beat
     };
     assert!(!send(&mut agent, Time::ZERO));
-    agent.progress(Revision(7), Fence(3), Warmth::Warm);
+    agent.set_status(Revision(7), Fence(3), Warmth::Warm);
     assert!(send(&mut agent, Time::ZERO));
     let mut leaving = announcement("u", 1);
     leaving.leaving = true;
-    agent.follow(leaving, Time::ZERO);
+    agent.set_announcement(leaving, Time::ZERO);
     assert!(!send(&mut agent, Time::ZERO));
     let member = registry.members().next().unwrap();
     assert_eq!(member.warmth, Warmth::Warm);
@@ -163,19 +163,22 @@
 #[test]
 fn agent_with_an_older_clock_raises_its_incarnation_at_the_start_only() {
     let mut agent = Announcer::new(announcement("u", 3), 1, Time::ZERO);
-    let heard = Heard::Outdated {
+    let heard = ReportAnswer::Outdated {
         highest: Incarnation(9),
     };
     let soon = Time::ZERO + START_GRACE / 2;
-    assert_eq!(agent.receive(0, agent.rank(), heard, soon), Standby::Newest);
+    assert_eq!(
+        agent.receive(0, agent.rank(), heard, soon),
+        IncarnationState::Newest
+    );
     assert_eq!(agent.incarnation(), Incarnation(10));
-    let heard = Heard::Outdated {
+    let heard = ReportAnswer::Outdated {
         highest: Incarnation(11),
     };
     let late = Time::ZERO + START_GRACE;
     assert_eq!(
         agent.receive(0, agent.rank(), heard, late),
-        Standby::Superseded
+        IncarnationState::Superseded
     );
     assert_eq!(agent.incarnation(), Incarnation(10));
 }
@@ -185,7 +188,7 @@
     let mut agent = Announcer::new(announcement("u", 30), 1, Time::ZERO);
     let mut seen = Vec::new();
     for given in [30, 40, 35, 35] {
-        agent.follow(announcement("u", given), Time::ZERO);
+        agent.set_announcement(announcement("u", given), Time::ZERO);
         seen.push(agent.incarnation().0);
     }
     assert_eq!(seen, [30, 40, 41, 41]);
@@ -195,8 +198,8 @@
 fn malformed_announcements_are_refused() {
     let mut registry = Registry::new(1, Time::ZERO);
     assert_eq!(
-        registry.hear(whole("a b", 1, 0), Time::ZERO),
-        Heard::Refused
+        registry.receive(whole("a b", 1, 0), Time::ZERO),
+        ReportAnswer::Refused
     );
     let mut long = announcement("u", 1);
     long.address = "9".repeat(1_000);
@@ -206,8 +209,8 @@
     };
     let warmth = Warmth::Cold;
     assert_eq!(
-        registry.hear(Report::Whole { notice, warmth }, Time::ZERO),
-        Heard::Refused
+        registry.receive(Report::Whole { notice, warmth }, Time::ZERO),
+        ReportAnswer::Refused
     );
 }
 
@@ -215,7 +218,9 @@
 fn flood_of_names_is_bounded() {
     let mut registry = Registry::new(1, Time::ZERO);
     let refused = (0..MAX_MEMBERS + 500)
-        .filter(|i| registry.hear(whole(&format!("u{i}"), 1, 0), Time::ZERO) == Heard::Refused)
+        .filter(|i| {
+            registry.receive(whole(&format!("u{i}"), 1, 0), Time::ZERO) == ReportAnswer::Refused
+        })
         .count();
     assert_eq!(refused, 500);
     for i in 0..MAX_ENTRIES + 10 {
@@ -225,11 +230,11 @@
             revision: Revision(0),
             current: true,
         };
-        registry.hear(Report::Entry(presence), Time::ZERO);
+        registry.receive(Report::Entry(presence), Time::ZERO);
     }
     assert_eq!(registry.entries().count(), MAX_ENTRIES);
     let before = registry.update_since(None, Time::ZERO).mark;
-    let late = Time::ZERO + EXPIRY;
+    let late = Time::ZERO + EXPIRY_TIMEOUT;
     tick(&mut registry, Time::ZERO, late);
     assert_eq!(
         (registry.members().count(), registry.entries().count()),
@@ -243,11 +248,14 @@
 fn replica_that_forgot_an_agent_asks_for_the_whole() {
     let mut registry = Registry::new(1, Time::ZERO);
     let mut agent = Announcer::new(announcement("u", 1), 1, Time::ZERO);
-    agent.receive(0, agent.rank(), Heard::Kept, Time::ZERO);
-    let heard = registry.hear(agent.report(0), Time::ZERO);
-    assert_eq!(heard, Heard::Unknown);
+    agent.receive(0, agent.rank(), ReportAnswer::Kept, Time::ZERO);
+    let heard = registry.receive(agent.report(0), Time::ZERO);
+    assert_eq!(heard, ReportAnswer::Unknown);
     agent.receive(0, agent.rank(), heard, Time::ZERO);
-    assert_eq!(registry.hear(agent.report(0), Time::ZERO), Heard::Kept);
+    assert_eq!(
+        registry.receive(agent.report(0), Time::ZERO),
+        ReportAnswer::Kept
+    );
 }
 
 proptest! {
@@ -267,7 +275,7 @@
             let before: Vec<_> = view.announcements().cloned().collect();
             match kind {
                 0 => for registry in &mut registries {
-                    registry.hear(whole(&format!("u{name}"), rank / 2, rank % 2), now);
+                    registry.receive(whole(&format!("u{name}"), rank / 2, rank % 2), now);
                 },
                 1 => {
                     now += TICK;
@@ -284,8 +292,8 @@
                 prop_assert!(held.is_none_or(|new| new.incarnation >= old.incarnation));
             }
         }
-        tick(&mut registries[at], now, now + EXPIRY - TICK);
-        let end = now + EXPIRY;
+        tick(&mut registries[at], now, now + EXPIRY_TIMEOUT - TICK);
+        let end = now + EXPIRY_TIMEOUT;
         follow(&mut view, &registries[at], end);
         let held: Vec<_> = view.announcements().cloned().collect();
         let members: Vec<_> = registries[at].members().map(|m| m.notice.announcement.clone()).collect();
--- a/decision/control/tests/it/hostile.rs
+++ b/decision/control/tests/it/hostile.rs
@@ -3,10 +3,10 @@
 use std::time::Duration;
 
 use pimentotide_control::currency::{
-    Confirmation, Held, Update, Watch, WatchAnswer, WatchRequest, grant, news,
+    Confirmation, Held, Update, Watch, WatchAnswer, WatchRequest, grant, has_update,
 };
 use pimentotide_control::directory::{
-    Announcer, Beat, Heard, Mark, Notice, Registry, Report, View,
+    Announcer, Heartbeat, Mark, Notice, Registry, Report, ReportAnswer, View,
 };
 use pimentotide_control::machine::Change;
 use pimentotide_control::{Action, Machine, Scope};
@@ -52,7 +52,7 @@
         warmth: Warmth::Cold,
     });
     let beat = (number(), number(), number()).prop_map(|(incarnation, sequence, other)| {
-        Report::Beat(Beat {
+        Report::Beat(Heartbeat {
             upstream: "u".into(),
             incarnation: Incarnation(incarnation),
             sequence,
@@ -97,10 +97,10 @@
         let machine = Machine::default();
         let mut registry = Registry::new(1, Time::ZERO);
         for report in reports {
-            registry.hear(report, now);
+            registry.receive(report, now);
         }
         for request in requests {
-            news(&machine, &registry, &request, now);
+            has_update(&machine, &registry, &request, now);
             let confirmation = Confirmation { started: now };
             if let Ok(answer) = grant(&machine, &registry, confirmation, &request, now) {
                 View::default().receive(&answer.directory.unwrap());
@@ -133,8 +133,8 @@
         }
         let mut agent = Announcer::new(announcement(numbers[4]), 1, Time::ZERO);
         let highest = Incarnation(numbers[5]);
-        agent.receive(0, agent.rank(), Heard::Outdated { highest }, Time::ZERO);
-        agent.follow(announcement(numbers[5]), Time::ZERO);
+        agent.receive(0, agent.rank(), ReportAnswer::Outdated { highest }, Time::ZERO);
+        agent.set_announcement(announcement(numbers[5]), Time::ZERO);
         prop_assert!(agent.incarnation() >= highest);
     }
 
@@ -149,10 +149,10 @@
             bytes[at] = damage.1;
             let mut registry = Registry::new(1, Time::ZERO);
             if let Ok(report) = serde_json::from_slice::<Report>(&bytes) {
-                registry.hear(report, Time::ZERO);
+                registry.receive(report, Time::ZERO);
             }
             if let Ok(request) = serde_json::from_slice::<WatchRequest>(&bytes) {
-                news(&Machine::default(), &registry, &request, Time::ZERO);
+                has_update(&Machine::default(), &registry, &request, Time::ZERO);
             }
         }
     }
--- a/decision/control/tests/it/size.rs
+++ b/decision/control/tests/it/size.rs
@@ -1,7 +1,9 @@
 //! Sizes of messages, from which the traffic of large deployments is computed.
 
 use pimentotide_control::currency::{Held, Update, WatchAnswer, WatchRequest};
-use pimentotide_control::directory::{Announcer, Heard, Mark, Notice, RegistryUpdate, Report};
+use pimentotide_control::directory::{
+    Announcer, Mark, Notice, RegistryUpdate, Report, ReportAnswer,
+};
 use pimentotide_model::{
     Announcement, Fence, Fingerprint, Incarnation, Revision, ServiceKind, Time, Warmth,
 };
@@ -38,8 +40,8 @@
 fn bytes_of_each_message_as_json() {
     let mut agent = Announcer::new(announcement(), 1, Time::ZERO);
     let whole = agent.report(0);
-    agent.receive(0, agent.rank(), Heard::Kept, Time::ZERO);
-    agent.progress(Revision(6_600), Fence(12_000), Warmth::Warm);
+    agent.receive(0, agent.rank(), ReportAnswer::Kept, Time::ZERO);
+    agent.set_status(Revision(6_600), Fence(12_000), Warmth::Warm);
     let beat = agent.report(0);
     assert!(matches!(beat, Report::Beat(_)));
     let mark = Mark {
@@ -79,7 +81,7 @@
     let rows = [
         row("report, whole", &whole),
         row("report, beat", &beat),
-        row("answer to a report", &Heard::Kept),
+        row("answer to a report", &ReportAnswer::Kept),
         row("notice in a delta", &notice),
         row("watch request", &request),
         row("watch answer, agent, no news", &answer(None)),
--- a/decision/control/tests/it/watch.rs
+++ b/decision/control/tests/it/watch.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use pimentotide_control::currency::{
-    Confirmation, FenceGate, LEASE, RETRY_PAUSE, Rotation, Taken, Update, Watch, WatchAnswer,
-    WatchRequest, grant, news,
+    Confirmation, FenceGate, LEASE, RETRY_PAUSE, Rotation, Update, Watch, WatchAnswer,
+    WatchOutcome, WatchRequest, grant, has_update,
 };
 use pimentotide_control::directory::Registry;
 use pimentotide_control::{Document, Machine};
@@ -35,7 +35,7 @@
     )
 }
 
-fn renew(machine: &Machine, watch: &mut Watch, now: Time) -> Taken {
+fn renew(machine: &Machine, watch: &mut Watch, now: Time) -> WatchOutcome {
     let answer = ask(machine, watch, now).unwrap();
     watch.receive(now, &answer)
 }
@@ -77,7 +77,7 @@
     for mut follower in [Watch::default(), watch] {
         let answer = ask(&machine, &follower, Time::ZERO).unwrap();
         assert!(matches!(answer.update, Update::Whole(_)));
-        assert_eq!(follower.receive(Time::ZERO, &answer), Taken::Changed);
+        assert_eq!(follower.receive(Time::ZERO, &answer), WatchOutcome::Changed);
         assert_eq!(follower.revision(), Revision(1_000));
     }
 }
@@ -87,14 +87,27 @@
     let mut machine = Machine::default();
     let mut watch = Watch::default();
     renew(&machine, &mut watch, Time::ZERO);
-    assert_eq!(renew(&machine, &mut watch, Time::ZERO), Taken::Renewed);
+    assert_eq!(
+        renew(&machine, &mut watch, Time::ZERO),
+        WatchOutcome::Renewed
+    );
     change(&mut machine, 3);
     let registry = Registry::new(1, Time::ZERO);
-    assert!(news(&machine, &registry, &request(&watch), Time::ZERO));
+    assert!(has_update(
+        &machine,
+        &registry,
+        &request(&watch),
+        Time::ZERO
+    ));
     let answer = ask(&machine, &watch, Time::ZERO).unwrap();
     assert!(matches!(&answer.update, Update::Changes(changes) if changes.len() == 3));
-    assert_eq!(watch.receive(Time::ZERO, &answer), Taken::Changed);
-    assert!(!news(&machine, &registry, &request(&watch), Time::ZERO));
+    assert_eq!(watch.receive(Time::ZERO, &answer), WatchOutcome::Changed);
+    assert!(!has_update(
+        &machine,
+        &registry,
+        &request(&watch),
+        Time::ZERO
+    ));
 }
 
 #[test]
@@ -107,10 +120,13 @@
     if let Update::Changes(changes) = &mut answer.update {
         changes[0].action = zone("b", AdminState::Out);
     }
-    assert_eq!(watch.receive(Time::ZERO, &answer), Taken::Repair);
+    assert_eq!(watch.receive(Time::ZERO, &answer), WatchOutcome::Repair);
     assert_eq!(watch.revision(), Revision(0));
     assert_eq!(watch.held(), None);
-    assert_eq!(renew(&machine, &mut watch, Time::ZERO), Taken::Changed);
+    assert_eq!(
+        renew(&machine, &mut watch, Time::ZERO),
+        WatchOutcome::Changed
+    );
     assert_eq!(watch.declarations(), Some(machine.declarations()));
 }
 
@@ -140,7 +156,10 @@
         Err(ErrorKind::StaleRevision)
     );
     let old = ask(&behind, &Watch::default(), Time::from_millis(500)).unwrap();
-    assert_eq!(watch.receive(Time::from_millis(500), &old), Taken::Stale);
+    assert_eq!(
+        watch.receive(Time::from_millis(500), &old),
+        WatchOutcome::Stale
+    );
     assert_eq!(watch.revision(), Revision(1));
     assert_eq!(watch.expiry(), Time::ZERO + LEASE);
 }
@@ -179,8 +198,8 @@
     let mut machine = Machine::default();
     let mut watch = Watch::default();
     change(&mut machine, 1);
-    assert!(watch.hear(Revision(1)));
-    assert!(!watch.hear(Revision(1)));
+    assert!(watch.observe_revision(Revision(1)));
+    assert!(!watch.observe_revision(Revision(1)));
     assert!(watch.is_behind());
     renew(&machine, &mut watch, Time::ZERO);
     assert!(!watch.is_behind());
@@ -209,10 +228,10 @@
 fn restarted_agent_accepts_no_order_before_it_knows_the_floor() {
     let mut gate = FenceGate::default();
     assert_eq!(gate.accept(Fence(9)), Err(ErrorKind::NotCurrent));
-    gate.learn(Fence(5));
+    gate.raise_floor(Fence(5));
     assert_eq!(gate.accept(Fence(4)), Err(ErrorKind::Fenced));
     assert_eq!(gate.accept(Fence(7)), Ok(()));
-    gate.learn(Fence(6));
+    gate.raise_floor(Fence(6));
     assert_eq!(gate.accept(Fence(6)), Err(ErrorKind::Fenced));
     assert_eq!(gate.accept(Fence(7)), Ok(()));
 }
--- a/dev/bench/src/bin/capacity_control.rs
+++ b/dev/bench/src/bin/capacity_control.rs
@@ -7,7 +7,7 @@
 use pimentotide_bench::target::{MODELS, UPSTREAMS, WORKSPACES, announcement, declarations};
 use pimentotide_consensus::Index;
 use pimentotide_control::currency::{Confirmation, Held, Update, WatchAnswer, WatchRequest, grant};
-use pimentotide_control::directory::{Beat, Mark, Notice, Registry, Report, View};
+use pimentotide_control::directory::{Heartbeat, Mark, Notice, Registry, Report, View};
 use pimentotide_control::machine::encode;
 use pimentotide_control::{Action, Command, Document, Machine, Order};
 use pimentotide_model::{AdminState, Fence, Fingerprint, Incarnation, Revision, Time, Warmth};
@@ -63,7 +63,7 @@
 
 fn beat(i: usize) -> Report {
     let announcement = announcement(i);
-    Report::Beat(Beat {
+    Report::Beat(Heartbeat {
         upstream: announcement.upstream,
         incarnation: announcement.incarnation,
         sequence: 1,
@@ -114,7 +114,7 @@
 fn registry(upstreams: usize) -> Registry {
     let mut registry = Registry::new(1, Time::ZERO);
     for i in 0..upstreams {
-        registry.hear(whole(i), Time::ZERO);
+        registry.receive(whole(i), Time::ZERO);
     }
     registry
 }
@@ -146,7 +146,7 @@
         let seen = memory_each(size * COPIES, || vec_of(|| view(&registry)));
         let beats: Vec<_> = (0..size).map(beat).collect();
         let heard = nanos(BATCH, |i| {
-            black_box(registry.hear(beats[i % size].clone(), Time::ZERO));
+            black_box(registry.receive(beats[i % size].clone(), Time::ZERO));
         });
         let granted = time_grant(&registry);
         let followed = time_follow(size);
@@ -200,7 +200,7 @@
             notice: notice(i % size, sequence),
             warmth: Warmth::Warm,
         };
-        registry.hear(report, Time::ZERO);
+        registry.receive(report, Time::ZERO);
         let update = registry.update_since(view.mark(), Time::ZERO);
         black_box(view.receive(&update));
     })
--- a/dev/scenario/src/world/agent.rs
+++ b/dev/scenario/src/world/agent.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use pimentotide_control::directory::{Announcer, HEARTBEAT, Heard};
+use pimentotide_control::directory::{Announcer, HEARTBEAT_INTERVAL, ReportAnswer};
 use pimentotide_model::{
     Announcement, Declarations, ErrorKind, Fence, Incarnation, ModelName, Revision, ServiceKind,
     ServiceName, Time, UpstreamName, VersionName, ZoneName,
@@ -129,7 +129,9 @@
         let _ = agent.gate.tick(now);
         let report = agent.gate.report();
         let (epoch, revision) = (agent.epoch, agent.holder.watch.revision());
-        agent.announcer.progress(revision, Fence(0), report.warmth);
+        agent
+            .announcer
+            .set_status(revision, Fence(0), report.warmth);
         if now >= agent.report {
             agent.report = now + REPORT;
             for entry in 0..self.instances {
@@ -149,7 +151,7 @@
         if now < agent.beat {
             return;
         }
-        agent.beat = now + HEARTBEAT;
+        agent.beat = now + HEARTBEAT_INTERVAL;
         let rank = agent.announcer.rank();
         let reports: Vec<_> = (0..replicas.len())
             .map(|r| agent.announcer.report(r))
@@ -164,7 +166,7 @@
         from: NodeId,
         node: NodeId,
         rank: (Incarnation, u64),
-        heard: Heard,
+        heard: ReportAnswer,
     ) {
         let now = self.local(node);
         let replica = self.disks.keys().position(|n| *n == from);
@@ -187,7 +189,9 @@
         agent.gate.restart(incarnation, now);
         agent.ledger.upstream_crashed(now);
         agent.ledger.upstream_started(incarnation);
-        agent.announcer.follow(agent.announcement.clone(), now);
+        agent
+            .announcer
+            .set_announcement(agent.announcement.clone(), now);
         agent.beat = now;
     }
 
@@ -220,7 +224,9 @@
         if let Some(agent) = self.agents.get_mut(&node) {
             agent.gate.leave();
             agent.announcement.leaving = true;
-            agent.announcer.follow(agent.announcement.clone(), now);
+            agent
+                .announcer
+                .set_announcement(agent.announcement.clone(), now);
             agent.beat = now;
         }
     }
--- a/dev/scenario/src/world/entry.rs
+++ b/dev/scenario/src/world/entry.rs
@@ -2,8 +2,8 @@
 
 use std::collections::BTreeMap;
 
-use pimentotide_control::currency::Taken;
-use pimentotide_control::directory::{Event, HEARTBEAT, Presence, Report};
+use pimentotide_control::currency::WatchOutcome;
+use pimentotide_control::directory::{Event, HEARTBEAT_INTERVAL, Presence, Report};
 use pimentotide_model::{
     ErrorKind, Failure, Fingerprint, IdempotencyKey, Incarnation, LoadReport, ModelName, Priority,
     RequestMeta, ServiceKind, ServiceName, Time, UpstreamName, WorkspaceName, ZoneName,
@@ -53,7 +53,7 @@
         };
         let entry = self.entries.get_mut(&node).expect("the entry runs");
         if now >= entry.beat {
-            entry.beat = now + HEARTBEAT;
+            entry.beat = now + HEARTBEAT_INTERVAL;
             let replicas: Vec<NodeId> = self.disks.keys().copied().collect();
             for to in replicas {
                 let report = Box::new(Report::Entry(presence.clone()));
@@ -71,14 +71,14 @@
     }
 
     /// Takes news of the watch.
-    pub(super) fn news(&mut self, node: NodeId, taken: Taken, events: Vec<Event>) {
+    pub(super) fn news(&mut self, node: NodeId, taken: WatchOutcome, events: Vec<Event>) {
         if node >= self.instances {
             return self.agent_news(node);
         }
         let Some(entry) = self.entries.get_mut(&node) else {
             return;
         };
-        if taken == Taken::Changed
+        if taken == WatchOutcome::Changed
             && let Some(declarations) = entry.holder.watch.declarations()
         {
             entry.placer.declare(declarations.clone());
--- a/dev/scenario/src/world/holder.rs
+++ b/dev/scenario/src/world/holder.rs
@@ -1,7 +1,7 @@
 //! Watch sessions of entries and agents.
 
 use pimentotide_control::currency::{
-    PATIENCE, RENEWAL, Rotation, Taken, Watch, WatchAnswer, WatchRequest,
+    LONG_POLL_MARGIN, LONG_POLL_TIMEOUT, Rotation, Watch, WatchAnswer, WatchOutcome, WatchRequest,
 };
 use pimentotide_control::directory::View;
 use pimentotide_model::{Time, UpstreamName};
@@ -53,7 +53,7 @@
         };
         if holder
             .sent
-            .is_some_and(|s| now.since(s) >= RENEWAL + PATIENCE)
+            .is_some_and(|s| now.since(s) >= LONG_POLL_TIMEOUT + LONG_POLL_MARGIN)
         {
             holder.sent = None;
             holder.view.detach();
@@ -97,14 +97,14 @@
             return;
         };
         holder.rotation.succeed();
-        holder.due = now + RENEWAL / 2;
+        holder.due = now + LONG_POLL_TIMEOUT / 2;
         let before = holder.watch.revision();
         if skips && answer.revision < before {
             holder.watch = Watch::default();
         }
         let taken = holder.watch.receive(sent, &answer);
         let after = holder.watch.revision();
-        if taken == Taken::Repair {
+        if taken == WatchOutcome::Repair {
             holder.due = now;
         }
         let events = answer
--- a/dev/scenario/src/world/parcel.rs
+++ b/dev/scenario/src/world/parcel.rs
@@ -2,7 +2,7 @@
 
 use pimentotide_consensus::{Envelope, Index};
 use pimentotide_control::currency::{WatchAnswer, WatchRequest};
-use pimentotide_control::directory::{Heard, Report};
+use pimentotide_control::directory::{Report, ReportAnswer};
 use pimentotide_control::{Command, Response};
 use pimentotide_experts::{Message, Peer};
 use pimentotide_model::{Incarnation, LoadReport};
@@ -20,7 +20,7 @@
     WatchAsk(u64, Box<WatchRequest>),
     WatchDone(u64, Option<Box<WatchAnswer>>),
     Report((Incarnation, u64), Box<Report>),
-    Heard((Incarnation, u64), Heard),
+    Heard((Incarnation, u64), ReportAnswer),
     Load(LoadReport, LedgerEpoch),
     Propose(u64, Box<Command>),
     Proposed(u64, Proposed),
--- a/dev/scenario/src/world/replica.rs
+++ b/dev/scenario/src/world/replica.rs
@@ -394,7 +394,7 @@
     ) {
         let now = self.local(node);
         if let Some(replica) = self.replicas.get_mut(&node) {
-            let heard = replica.registry.hear(report, now);
+            let heard = replica.registry.receive(report, now);
             self.send(node, from, Parcel::Heard(rank, heard));
         }
     }
--- a/peers/instance/src/directory/confirm.rs
+++ b/peers/instance/src/directory/confirm.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use pimentotide_control::currency::{CONFIRMATION_AGE, Confirmation};
+use pimentotide_control::currency::{Confirmation, MAX_CONFIRMATION_AGE};
 use pimentotide_model::{ErrorKind, Failure, Time};
 use tokio::sync::Mutex;
 use tokio::time::timeout;
@@ -44,7 +44,7 @@
         let mut latest = self.latest.lock().await;
         let started = self.clock.now();
         if let Some(confirmation) = latest.confirmed
-            && started.since(confirmation.started) < CONFIRMATION_AGE
+            && started.since(confirmation.started) < MAX_CONFIRMATION_AGE
         {
             return Ok(confirmation);
         }
--- a/peers/instance/src/directory/follow.rs
+++ b/peers/instance/src/directory/follow.rs
@@ -5,7 +5,8 @@
 use std::time::Duration;
 
 use pimentotide_control::currency::{
-    FenceGate, PATIENCE, RENEWAL, Rotation, Taken, Watch, WatchAnswer, WatchRequest,
+    FenceGate, LONG_POLL_MARGIN, LONG_POLL_TIMEOUT, Rotation, Watch, WatchAnswer, WatchOutcome,
+    WatchRequest,
 };
 use pimentotide_control::directory::View as Upstreams;
 use pimentotide_model::{ErrorKind, Failure, Fence, InstanceName, Revision, Time, UpstreamName};
@@ -17,7 +18,7 @@
 use crate::{Clock, PeerClient, View};
 
 /// Time that one replica has for an answer.
-const ATTEMPT: Duration = RENEWAL.saturating_add(PATIENCE);
+const ATTEMPT: Duration = LONG_POLL_TIMEOUT.saturating_add(LONG_POLL_MARGIN);
 
 /// Who follows, and whom.
 #[derive(Clone)]
@@ -76,7 +77,7 @@
     ///
     /// If it is newer than the one in force, the next replica is asked at once.
     pub fn hear(&self, revision: Revision) {
-        if self.shared.lock().watch.hear(revision) {
+        if self.shared.lock().watch.observe_revision(revision) {
             self.shared.behind.notify_one();
         }
     }
@@ -162,18 +163,18 @@
     fn take(&self, sent: Time, answer: &WatchAnswer) -> Result<(), Failure> {
         let mut held = self.lock();
         match held.watch.receive(sent, answer) {
-            Taken::Stale => {
+            WatchOutcome::Stale => {
                 let detail = format!("its revision {} is old", answer.revision);
                 return Err(Failure::new(ErrorKind::StaleRevision, detail));
             }
-            Taken::Repair => {
+            WatchOutcome::Repair => {
                 let detail = "its changes do not lead to its digest";
                 return Err(Failure::new(ErrorKind::Internal, detail));
             }
-            Taken::Changed => log::info!("revision {} is in force", answer.revision),
-            Taken::Renewed => {}
+            WatchOutcome::Changed => log::info!("revision {} is in force", answer.revision),
+            WatchOutcome::Renewed => {}
         }
-        held.fences.learn(answer.floor);
+        held.fences.raise_floor(answer.floor);
         let moved = answer.directory.as_ref();
         let events = moved.map(|update| held.upstreams.receive(update));
         self.publish(&held, events.is_some_and(|e| !e.is_empty()));
--- a/peers/instance/src/directory/report.rs
+++ b/peers/instance/src/directory/report.rs
@@ -3,7 +3,9 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-use pimentotide_control::directory::{Announcer, HEARTBEAT, Heard, Presence, Report, Standby};
+use pimentotide_control::directory::{
+    Announcer, HEARTBEAT_INTERVAL, IncarnationState, Presence, Report, ReportAnswer,
+};
 use pimentotide_model::{
     Announcement, Failure, Fence, Incarnation, InstanceName, Revision, Warmth, ZoneName,
 };
@@ -15,7 +17,7 @@
 use crate::{Clock, PeerClient, View};
 
 /// Time that a replica has to take a report.
-const REPORT_TIMEOUT: Duration = HEARTBEAT;
+const REPORT_TIMEOUT: Duration = HEARTBEAT_INTERVAL;
 
 /// What an agent reports.
 pub struct AgentOptions {
@@ -42,7 +44,7 @@
     clock: Clock,
     announcer: Mutex<Option<Announcer>>,
     incarnation: watch::Sender<Incarnation>,
-    standby: watch::Sender<Standby>,
+    standby: watch::Sender<IncarnationState>,
 }
 
 impl AgentReporter {
@@ -54,7 +56,7 @@
             clock: Clock::start(),
             announcer: Mutex::default(),
             incarnation: watch::Sender::new(Incarnation(0)),
-            standby: watch::Sender::new(Standby::Newest),
+            standby: watch::Sender::new(IncarnationState::Newest),
         });
         let mut tasks = JoinSet::new();
         for replica in 0..replicas {
@@ -74,7 +76,7 @@
     }
 
     /// Whether the agent may take new work, or another process has its name.
-    pub fn standby(&self) -> watch::Receiver<Standby> {
+    pub fn standby(&self) -> watch::Receiver<IncarnationState> {
         self.shared.standby.subscribe()
     }
 }
@@ -85,7 +87,7 @@
         loop {
             self.exchange(replica).await;
             tokio::select! {
-                () = tokio::time::sleep(HEARTBEAT) => {}
+                () = tokio::time::sleep(HEARTBEAT_INTERVAL) => {}
                 changed = announcement.changed() => if changed.is_err() { return },
             }
         }
@@ -102,7 +104,7 @@
                 return;
             };
             self.take(replica, rank, heard);
-            if heard == Heard::Kept || heard == Heard::Refused {
+            if heard == ReportAnswer::Kept || heard == ReportAnswer::Refused {
                 return;
             }
         }
@@ -115,15 +117,15 @@
         let mut announcer = self.lock();
         let announcer =
             announcer.get_or_insert_with(|| Announcer::new(announcement.clone(), replicas, now));
-        announcer.follow(announcement, now);
+        announcer.set_announcement(announcement, now);
         let revision = self.options.view.borrow().declarations.revision;
         let fence = *self.options.fence.borrow();
-        announcer.progress(revision, fence, *self.options.warmth.borrow());
+        announcer.set_status(revision, fence, *self.options.warmth.borrow());
         self.incarnation.send_replace(announcer.incarnation());
         Some((announcer.report(replica), announcer.rank()))
     }
 
-    fn take(&self, replica: usize, rank: (Incarnation, u64), heard: Heard) {
+    fn take(&self, replica: usize, rank: (Incarnation, u64), heard: ReportAnswer) {
         let mut announcer = self.lock();
         let Some(announcer) = announcer.as_mut() else {
             return;
@@ -133,7 +135,7 @@
         if self.standby.send_replace(standby) != standby {
             log::warn!("another process has taken over the name of this upstream");
         }
-        if heard == Heard::Refused {
+        if heard == ReportAnswer::Refused {
             log::warn!("replica {replica} refuses the announcement of this upstream");
         }
     }
@@ -183,7 +185,7 @@
         let presence = presence(&options, revision, current);
         // A report that is lost is followed by the next.
         let _ = send(&replica, Report::Entry(presence)).await;
-        tokio::time::sleep(HEARTBEAT).await;
+        tokio::time::sleep(HEARTBEAT_INTERVAL).await;
     }
 }
 
@@ -196,7 +198,7 @@
     }
 }
 
-async fn send(replica: &PeerClient, report: Report) -> Result<Heard, Failure> {
+async fn send(replica: &PeerClient, report: Report) -> Result<ReportAnswer, Failure> {
     let call = replica.call_within(REPORT_TIMEOUT, REPORT, [report]);
     match timeout(REPORT_TIMEOUT, call).await {
         Ok(heard) => heard,
--- a/peers/instance/src/directory/server.rs
+++ b/peers/instance/src/directory/server.rs
@@ -6,8 +6,10 @@
 use jsonrpsee::RpcModule;
 use jsonrpsee::core::RegisterMethodError;
 use jsonrpsee::types::ErrorObjectOwned;
-use pimentotide_control::currency::{RENEWAL, WatchAnswer, WatchRequest, grant, news};
-use pimentotide_control::directory::{Heard, Registry, Report};
+use pimentotide_control::currency::{
+    LONG_POLL_TIMEOUT, WatchAnswer, WatchRequest, grant, has_update,
+};
+use pimentotide_control::directory::{Registry, Report, ReportAnswer};
 use pimentotide_model::Failure;
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
@@ -81,7 +83,7 @@
         })?;
         module.register_method(REPORT, |params, directory, _| {
             let report: Report = params.one()?;
-            Ok::<Heard, ErrorObjectOwned>(directory.shared.hear(report))
+            Ok::<ReportAnswer, ErrorObjectOwned>(directory.shared.hear(report))
         })?;
         Ok(module)
     }
@@ -114,13 +116,13 @@
     }
 
     async fn wait(&self, request: &WatchRequest) {
-        let end = Instant::now() + RENEWAL;
+        let end = Instant::now() + LONG_POLL_TIMEOUT;
         let mut states = self.source.changes();
         let mut directories = self.changed.subscribe();
         loop {
             let fresh = self
                 .source
-                .read(|machine| news(machine, &self.registry(), request, self.clock.now()));
+                .read(|machine| has_update(machine, &self.registry(), request, self.clock.now()));
             if fresh {
                 return;
             }
@@ -134,10 +136,10 @@
 }
 
 impl<S> Shared<S> {
-    fn hear(&self, report: Report) -> Heard {
+    fn hear(&self, report: Report) -> ReportAnswer {
         let mut registry = self.registry();
         let before = registry.version();
-        let heard = registry.hear(report, self.clock.now());
+        let heard = registry.receive(report, self.clock.now());
         let changed = registry.version() != before;
         drop(registry);
         if changed {
--- a/peers/instance/tests/it/directory.rs
+++ b/peers/instance/tests/it/directory.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use pimentotide_consensus::{Index, Machine as _};
-use pimentotide_control::directory::Standby;
+use pimentotide_control::directory::IncarnationState;
 use pimentotide_control::machine::encode;
 use pimentotide_control::{Action, Command, Machine, Order};
 use pimentotide_instance::directory::{
@@ -276,7 +276,7 @@
     let started = |v: &View| v.upstreams["u1"].incarnation == Incarnation(6);
     until("new start", &mut view, started).await;
     assert_eq!(*agent.incarnation().borrow(), Incarnation(6));
-    assert_eq!(*agent.standby().borrow(), Standby::Newest);
+    assert_eq!(*agent.standby().borrow(), IncarnationState::Newest);
     for replica in [&first, &second] {
         let all = async {
             let known = |r: &pimentotide_control::directory::Registry| {
--- a/peers/operator/src/server/order.rs
+++ b/peers/operator/src/server/order.rs
@@ -2,7 +2,7 @@
 
 use actix_web::HttpResponse;
 use actix_web::web::{Data, Payload};
-use pimentotide_control::declare::{parse_document, place, read_document};
+use pimentotide_control::declare::{locate_faults, parse_document, read_document};
 use pimentotide_control::{Action, Command, Order, Response, Verdict};
 use pimentotide_document::{Problem, Problems};
 use pimentotide_model::{ErrorKind, Failure, OrderId, Revision};
@@ -119,7 +119,7 @@
                 warnings,
             })
         }
-        Verdict::Invalid { faults } => Err(invalid(place(text, faults))),
+        Verdict::Invalid { faults } => Err(invalid(locate_faults(text, faults))),
         Verdict::Mismatch { id } => Err(boxed(Failure::new(
             ErrorKind::KeyMismatch,
             format!("order {id} was given before with other content"),
--- a/peers/operator/tests/it/common.rs
+++ b/peers/operator/tests/it/common.rs
@@ -101,7 +101,11 @@
             announcement,
         };
         let report = Report::Whole { notice, warmth };
-        self.state.lock().unwrap().registry.hear(report, Time::ZERO);
+        self.state
+            .lock()
+            .unwrap()
+            .registry
+            .receive(report, Time::ZERO);
     }
 
     pub(crate) fn enter(&self, instance: &str) {
@@ -112,7 +116,11 @@
             current: true,
         };
         let report = Report::Entry(presence);
-        self.state.lock().unwrap().registry.hear(report, Time::ZERO);
+        self.state
+            .lock()
+            .unwrap()
+            .registry
+            .receive(report, Time::ZERO);
     }
 }
 
