--- a/decision/control/src/lib.rs
+++ b/decision/control/src/lib.rs
@@ -1,9 +1,10 @@
 //! Replicated declarations, operator orders and currency leases.
 //!
-//! [`declare`] holds what operators may write and order, and its checks.
-//! [`machine`] applies committed commands and is equal on every replica.
-//! [`currency`] decides who may act on which revision and for how long, and
-//! [`directory`] keeps the announced upstreams, which are not in the log.
+//! [`declare`] defines the declarations, their checks and the operator orders
+//! that change them. [`machine`] applies committed commands and is equal on
+//! every replica. [`currency`] grants the leases that bound how long a process
+//! may act on a revision, and [`directory`] keeps the announced upstreams,
+//! which are not in the log.
 
 pub mod currency;
 pub mod declare;
--- a/decision/control/src/machine/codec.rs
+++ b/decision/control/src/machine/codec.rs
@@ -1,10 +1,10 @@
-//! Bytes of commands, responses and snapshots: a version byte, then postcard.
+//! Encoding of commands, responses and snapshots: a version byte, then postcard.
 
 use derive_more::Display;
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// Version of the encoding, the first byte of everything encoded.
+/// Version of the encoding, the first byte of every encoded value.
 const VERSION: u8 = 1;
 
 /// Longest encoded command, bytes.
@@ -16,16 +16,16 @@
 /// Why bytes could not be decoded.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum CodecError {
-    /// No bytes at all.
+    /// The input is empty.
     #[display("expected a version byte, found nothing")]
     Empty,
-    /// Another version of the encoding.
+    /// The version byte is not the supported version.
     #[display("expected version {VERSION}, found version {_0}")]
     Version(u8),
-    /// More bytes than allowed.
-    #[display("{_0} bytes are too many")]
+    /// The input is longer than the limit; holds its length in bytes.
+    #[display("{_0} bytes exceed the limit")]
     Length(usize),
-    /// Bytes that are not an encoded value.
+    /// The bytes after the version are not exactly one encoded value.
     #[display("the bytes are not an encoded value")]
     Malformed,
 }
@@ -36,7 +36,7 @@
 ///
 /// # Errors
 ///
-/// Fails if the value holds something that the encoding cannot express.
+/// Fails if the value contains something that the encoding cannot express.
 pub fn encode<T>(value: &T) -> Result<Vec<u8>, CodecError>
 where
     T: Serialize,
@@ -44,16 +44,17 @@
     postcard::to_extend(value, vec![VERSION]).map_err(|_| CodecError::Malformed)
 }
 
-/// Decodes a value of at most `most` bytes; bytes left over are an error.
+/// Decodes a value of at most `max_bytes` bytes.
 ///
 /// # Errors
 ///
-/// Fails on another version, too many bytes or bytes that are not the value.
-pub fn decode<T>(bytes: &[u8], most: usize) -> Result<T, CodecError>
+/// Fails if the input is empty, longer than `max_bytes`, of another version,
+/// or not exactly one encoded value; trailing bytes are an error.
+pub fn decode<T>(bytes: &[u8], max_bytes: usize) -> Result<T, CodecError>
 where
     T: DeserializeOwned,
 {
-    if bytes.len() > most {
+    if bytes.len() > max_bytes {
         return Err(CodecError::Length(bytes.len()));
     }
     let (version, body) = bytes.split_first().ok_or(CodecError::Empty)?;
--- a/decision/control/src/machine/history.rs
+++ b/decision/control/src/machine/history.rs
@@ -1,4 +1,4 @@
-//! Accepted orders: summaries for operators, whole changes for those that catch up.
+//! Accepted orders: summaries for operators and full changes for lagging holders.
 
 use std::collections::VecDeque;
 
@@ -7,40 +7,40 @@
 
 use crate::declare::{Action, Order};
 
-/// Most summaries kept.
+/// Maximum number of summaries retained.
 pub const MAX_RECORDS: usize = 1_000;
 
-/// Most whole changes kept.
+/// Maximum number of full changes retained.
 pub const MAX_CHANGES: usize = 64;
 
-/// Most bytes of whole changes kept.
+/// Maximum size of all full changes retained.
 pub const MAX_CHANGES_BYTES: usize = 256 << 10;
 
 /// Summary of one accepted order.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
-    /// Revision that the order made.
+    /// Revision that the order created.
     pub revision: Revision,
     /// Identifier of the order.
     pub id: OrderId,
-    /// Who gave it.
+    /// Operator that submitted the order.
     pub actor: String,
-    /// Time in the log.
+    /// Log time at which the order was applied.
     pub at: Time,
-    /// What it did, in one line.
+    /// One-line description of the action.
     pub summary: String,
 }
 
-/// One accepted change, whole.
+/// Action of an accepted order.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Change {
-    /// Revision that the change made.
+    /// Revision that the action created.
     pub revision: Revision,
-    /// What it changed.
+    /// Change to the declarations.
     pub action: Action,
 }
 
-/// Accepted orders, the newest last.
+/// Accepted orders, oldest first.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub(crate) struct History {
     records: VecDeque<Record>,
@@ -64,17 +64,17 @@
         self.push_change(&order.action, revision);
     }
 
-    /// Summaries, the oldest first.
+    /// Summaries, oldest first.
     pub(crate) fn records(&self) -> impl DoubleEndedIterator<Item = &Record> {
         self.records.iter()
     }
 
-    /// Summary of the order that made `revision`.
+    /// Summary of the order that created `revision`; `None` if it is not retained.
     pub(crate) fn record(&self, revision: Revision) -> Option<&Record> {
         self.records.iter().find(|r| r.revision == revision)
     }
 
-    /// All changes after `revision`, if none of them has been dropped.
+    /// All changes after `revision`; `None` if they are no longer all retained.
     pub(crate) fn changes_after(&self, revision: Revision) -> Option<Vec<Change>> {
         let first = self.changes.front()?.revision;
         if revision.0.saturating_add(1) < first.0 {
@@ -85,7 +85,7 @@
     }
 
     fn push_change(&mut self, action: &Action, revision: Revision) {
-        let bytes = postcard::to_stdvec(action).map_or(u32::MAX, |b| size(b.len()));
+        let bytes = postcard::to_stdvec(action).map_or(u32::MAX, |b| saturating_size(b.len()));
         self.changes.push_back(Change {
             revision,
             action: action.clone(),
@@ -102,6 +102,6 @@
     }
 }
 
-fn size(bytes: usize) -> u32 {
+fn saturating_size(bytes: usize) -> u32 {
     u32::try_from(bytes).unwrap_or(u32::MAX)
 }
--- a/decision/control/src/machine/ledger.rs
+++ b/decision/control/src/machine/ledger.rs
@@ -1,4 +1,4 @@
-//! First answers to orders, kept so that a resent order is applied once.
+//! First answers to orders, retained so that a resent order is applied once.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -9,44 +9,44 @@
 use super::history::Record;
 use crate::declare::{Fault, Order};
 
-/// Time for which a resent order gets its first answer.
+/// Time for which a resent order receives its first answer.
 pub const RESEND_WINDOW: Duration = Duration::from_secs(3_600);
 
-/// Most answers kept; beyond it the oldest is dropped before its time.
+/// Maximum number of answers retained; beyond it the oldest is evicted before its window ends.
 pub const MAX_ANSWERS: usize = 4_096;
 
 /// Answer to an order.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Verdict {
-    /// In force from this revision on.
+    /// The order is in force from this revision on.
     Accepted {
-        /// Revision that the order made.
+        /// Revision that the order created.
         revision: Revision,
     },
-    /// Another order came first.
+    /// The base of the order is not the current revision.
     Conflict {
-        /// Revision that the order was made against.
+        /// Revision that the order is based on.
         base: Revision,
         /// Revision in force.
         current: Revision,
-        /// Order that followed `base` in its place; none if it is no longer known.
+        /// Order that created the revision after `base`; `None` if it is not retained.
         winner: Option<Record>,
     },
-    /// The order identifier was used before with other content.
+    /// The order identifier was used before with different content.
     Mismatch {
-        /// Identifier.
+        /// Reused identifier.
         id: OrderId,
     },
-    /// The declarations that it would make are wrong.
+    /// The resulting declarations or the order itself fail the checks.
     Invalid {
-        /// Every fault.
+        /// Faults found, bounded in number.
         faults: Vec<Fault>,
     },
 }
 
 impl Verdict {
-    /// Kind of error that the verdict amounts to; none if the order is accepted.
+    /// Error kind of the verdict; `None` if the order is accepted.
     pub const fn kind(&self) -> Option<ErrorKind> {
         match self {
             Self::Accepted { .. } => None,
@@ -71,7 +71,9 @@
 }
 
 impl Ledger {
-    /// Looks up the answer to an order that was given before.
+    /// Returns the answer to an order that was submitted before.
+    ///
+    /// An order with the same identifier but different content is a mismatch.
     pub(crate) fn find(&self, order: &Order, content: Fingerprint) -> Option<Verdict> {
         let answered = self.answers.get(&order.id)?;
         if answered.content == content {
@@ -82,26 +84,26 @@
         })
     }
 
-    /// Keeps the first answer to an order.
-    pub(crate) fn keep(&mut self, id: OrderId, content: Fingerprint, verdict: Verdict, at: Time) {
+    /// Stores the first answer to an order.
+    pub(crate) fn insert(&mut self, id: OrderId, content: Fingerprint, verdict: Verdict, at: Time) {
         self.arrivals.push_back((at, id.clone()));
         self.answers.insert(id, Answered { content, verdict });
         if self.arrivals.len() > MAX_ANSWERS {
-            self.drop_oldest();
+            self.evict_oldest();
         }
     }
 
-    /// Drops the answers that are past the window.
+    /// Evicts the answers that are past the window.
     pub(crate) fn expire(&mut self, now: Time) {
         while let Some((at, _)) = self.arrivals.front() {
             if now.since(*at) < RESEND_WINDOW {
                 return;
             }
-            self.drop_oldest();
+            self.evict_oldest();
         }
     }
 
-    fn drop_oldest(&mut self) {
+    fn evict_oldest(&mut self) {
         if let Some((_, id)) = self.arrivals.pop_front() {
             self.answers.remove(&id);
         }
--- a/decision/control/src/machine/mod.rs
+++ b/decision/control/src/machine/mod.rs
@@ -1,4 +1,4 @@
-//! What the replicated log is applied to: equal on every replica.
+//! State machine of the replicated log; its state is equal on every replica.
 
 mod codec;
 mod fences;
--- a/decision/control/src/machine/replicated.rs
+++ b/decision/control/src/machine/replicated.rs
@@ -1,4 +1,4 @@
-//! The state as the machine of the replicated log.
+//! The replicated state as the state machine of the consensus log.
 
 use pimentotide_consensus::{Index, Machine as Replicated, RestoreError};
 use pimentotide_model::Time;
@@ -11,7 +11,7 @@
     }
 
     fn snapshot(&self) -> Vec<u8> {
-        // Going on without a snapshot would compact the log and lose the state.
+        // Continuing without a snapshot would compact the log and lose the state.
         Machine::snapshot(self).expect("every type of the state can be encoded")
     }
 
--- a/decision/control/src/machine/state.rs
+++ b/decision/control/src/machine/state.rs
@@ -1,4 +1,4 @@
-//! The replicated state and how commands change it.
+//! The replicated state and the commands that change it.
 
 use derive_more::From;
 use pimentotide_experts::Decisions;
@@ -15,32 +15,32 @@
 /// Longest order identifier, bytes.
 const MAX_ORDER_ID_BYTES: usize = 128;
 
-/// Longest name of an actor, bytes.
+/// Longest actor name, bytes.
 const MAX_ACTOR_BYTES: usize = 256;
 
 /// Change to the replicated state.
 #[derive(Clone, Debug, From, PartialEq, Serialize, Deserialize)]
 pub enum Command {
-    /// Order of an operator.
+    /// Operator order.
     Declare(Order),
     /// Claim or outcome of a non-idempotent request.
     Outcome(pimentotide_outcome::Command),
     /// Decision about expert maps.
     Experts(pimentotide_experts::Command),
-    /// Request for a fencing number for an order to this upstream.
+    /// Allocation of a fencing token for an order to this upstream.
     Allot(UpstreamName),
 }
 
 /// Answer to a command.
 #[derive(Clone, Debug, From, PartialEq, Serialize, Deserialize)]
 pub enum Response {
-    /// Answer to an order.
+    /// Answer to an operator order.
     Declare(Verdict),
     /// Answer to a claim or outcome.
     Outcome(pimentotide_outcome::Reply),
     /// Answer to a decision about expert maps.
     Experts(pimentotide_experts::Reply),
-    /// Fencing number for an order to an upstream.
+    /// Fencing token for an order to an upstream.
     Allot(Fence),
     /// The command could not be decoded and changed nothing.
     Unreadable,
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Applies one committed command as encoded, and encodes the response.
+    /// Applies one encoded committed command and encodes the response.
     pub fn apply_bytes(&mut self, at: Time, command: &[u8]) -> Vec<u8> {
         let response = match decode::<Command>(command, MAX_COMMAND_BYTES) {
             Ok(command) => self.apply(at, &command),
@@ -84,16 +84,17 @@
     ///
     /// # Errors
     ///
-    /// Fails if the state holds something that the encoding cannot express.
+    /// Fails if the state contains something that the encoding cannot express.
     pub fn snapshot(&self) -> Result<Vec<u8>, CodecError> {
         encode(self)
     }
 
-    /// Replaces the whole state; leaves it as it is on failure.
+    /// Replaces the whole state; on failure the state is unchanged.
     ///
     /// # Errors
     ///
-    /// Fails if `bytes` are not a snapshot.
+    /// Fails if `bytes` are not a snapshot of this encoding version or exceed
+    /// `MAX_SNAPSHOT_BYTES`.
     pub fn restore(&mut self, bytes: &[u8]) -> Result<(), CodecError> {
         *self = decode(bytes, MAX_SNAPSHOT_BYTES)?;
         Ok(())
@@ -114,7 +115,7 @@
         self.configuration.revision
     }
 
-    /// Claims and outcomes.
+    /// Claims and outcomes of non-idempotent requests.
     pub fn journal(&self) -> &Journal {
         &self.journal
     }
@@ -124,22 +125,22 @@
         &self.decisions
     }
 
-    /// Latest time in the log.
+    /// Highest log time applied so far.
     pub fn now(&self) -> Time {
         self.now
     }
 
-    /// Accepted orders, the oldest first.
+    /// Accepted orders, oldest first.
     pub fn history(&self) -> impl DoubleEndedIterator<Item = &Record> {
         self.history.records()
     }
 
-    /// All changes after `revision`, if none of them has been dropped.
+    /// All changes after `revision`; `None` if they are no longer all retained.
     pub fn changes_after(&self, revision: Revision) -> Option<Vec<Change>> {
         self.history.changes_after(revision)
     }
 
-    /// Lowest fencing number that `upstream` may still accept.
+    /// Lowest fencing token that `upstream` may still accept.
     pub fn fence_floor(&self, upstream: &UpstreamName) -> Fence {
         self.fences.floor(upstream)
     }
@@ -154,7 +155,7 @@
             return verdict;
         }
         let verdict = self.decide(order);
-        self.keep(order, content, &verdict);
+        self.record_verdict(order, content, &verdict);
         verdict
     }
 
@@ -181,13 +182,13 @@
         }
     }
 
-    fn keep(&mut self, order: &Order, content: Fingerprint, verdict: &Verdict) {
+    fn record_verdict(&mut self, order: &Order, content: Fingerprint, verdict: &Verdict) {
         self.ledger
-            .keep(order.id.clone(), content, verdict.clone(), self.now);
+            .insert(order.id.clone(), content, verdict.clone(), self.now);
     }
 }
 
-/// Checks what surrounds the action; such an order is not kept in the ledger.
+/// Checks the identifier and the actor; an order that fails is not stored in the ledger.
 fn envelope_faults(order: &Order) -> Vec<Fault> {
     let checks = [
         ("id", &*order.id, MAX_ORDER_ID_BYTES),
@@ -195,11 +196,11 @@
     ];
     let wrong = checks
         .into_iter()
-        .filter(|(_, text, most)| text.is_empty() || text.len() > *most || has_control(text));
-    let faults = wrong.map(|(key, text, most)| Fault {
+        .filter(|(_, text, max)| text.is_empty() || text.len() > *max || has_control(text));
+    let faults = wrong.map(|(key, text, max)| Fault {
         path: vec![key.to_owned()],
         message: format!(
-            "expected 1 to {most} bytes without control characters, found {} bytes",
+            "expected 1 to {max} bytes without control characters, found {} bytes",
             text.len()
         ),
     });
