--- a/decision/control/src/currency/fence.rs
+++ b/decision/control/src/currency/fence.rs
@@ -1,28 +1,28 @@
-//! Agent side: refuses orders that carry an old fencing number.
+//! Agent side of fencing: rejects orders with an outdated fencing token.
 
 use pimentotide_model::{ErrorKind, Fence};
 
-/// Highest fencing number that an agent has seen.
+/// Lowest fencing token that an agent still accepts.
 ///
-/// An agent keeps nothing on disk, so after a start it accepts no order
-/// before a replica has told it the floor.
+/// An agent stores nothing on disk, so after a restart it rejects every order
+/// until a replica has sent the floor.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct FenceGate {
     floor: Option<Fence>,
 }
 
 impl FenceGate {
-    /// Takes the floor that came with an answer of a replica.
+    /// Raises the floor to the one in an answer of a replica; never lowers it.
     pub fn raise_floor(&mut self, floor: Fence) {
         self.floor = self.floor.max(Some(floor));
     }
 
-    /// Accepts an order, unless a newer one has been seen.
+    /// Accepts an order unless its token is below the floor, and raises the floor to it.
     ///
     /// # Errors
     ///
-    /// Fails with `Fenced` on an old number and with `NotCurrent` before the
-    /// floor is known.
+    /// Fails with `Fenced` if the token is below the floor, and with `NotCurrent`
+    /// while no replica has sent a floor.
     pub fn accept(&mut self, fence: Fence) -> Result<(), ErrorKind> {
         let floor = self.floor.ok_or(ErrorKind::NotCurrent)?;
         if fence < floor {
@@ -32,7 +32,7 @@
         Ok(())
     }
 
-    /// Highest number seen; none before the floor is known.
+    /// Highest token accepted or received as a floor; `None` before the first floor.
     pub fn highest(&self) -> Option<Fence> {
         self.floor
     }
--- a/decision/control/src/currency/grant.rs
+++ b/decision/control/src/currency/grant.rs
@@ -1,4 +1,4 @@
-//! Replica side: answers holders and grants leases.
+//! Replica side: answers watch requests and grants leases.
 
 use pimentotide_model::{ErrorKind, Time};
 
@@ -7,17 +7,17 @@
 use crate::directory::Registry;
 use crate::machine::Machine;
 
-/// Proof that a replica's applied state was current.
+/// Evidence that a replica's applied state was current.
 ///
-/// It may be built only once a quorum has answered a round that began at
-/// `started`, and once all that was committed by then has been applied.
+/// It may be constructed only once a quorum has acknowledged a round that began
+/// at `started`, and everything committed by then has been applied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Confirmation {
-    /// When the round began, on the replica's clock.
+    /// Start of the round, on the replica's clock.
     pub started: Time,
 }
 
-/// Whether there is something that the holder lacks.
+/// Whether the holder lacks a part of the configuration or of the directory.
 pub fn has_update(
     machine: &Machine,
     registry: &Registry,
@@ -32,12 +32,12 @@
     !same || upstreams
 }
 
-/// Answers a holder, with a lease counted from the confirmation.
+/// Answers a watch request with a lease counted from the confirmation.
 ///
 /// # Errors
 ///
-/// Fails with `NotCurrent` if the confirmation is too old, and with
-/// `StaleRevision` if the holder has a newer revision than this replica.
+/// Fails with `NotCurrent` if the confirmation is at least as old as a lease, and
+/// with `StaleRevision` if the holder has a newer revision than this replica.
 pub fn grant(
     machine: &Machine,
     registry: &Registry,
--- a/decision/control/src/currency/message.rs
+++ b/decision/control/src/currency/message.rs
@@ -1,4 +1,4 @@
-//! Messages between a holder and the replica that it watches.
+//! Messages between a lease holder and the replica that it watches.
 
 use std::time::Duration;
 
@@ -8,57 +8,57 @@
 use crate::directory::{Mark, RegistryUpdate};
 use crate::machine::Change;
 
-/// Configuration that a holder has.
+/// Identifies the configuration that a holder has.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Held {
-    /// Its revision.
+    /// Revision of the configuration.
     pub revision: Revision,
-    /// Its digest.
+    /// Digest of the configuration.
     pub digest: Fingerprint,
 }
 
-/// Request for news, held by the replica until there is some.
+/// Long-poll request; the replica holds it until there is an update.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct WatchRequest {
-    /// Instance that asks.
+    /// Instance that sends the request.
     pub instance: InstanceName,
-    /// Upstream of the agent that asks; none for an entry.
+    /// Upstream of the requesting agent; `None` for an entry.
     pub upstream: Option<UpstreamName>,
-    /// Configuration held; none asks for the whole.
+    /// Configuration held; `None` requests the whole configuration.
     pub held: Option<Held>,
-    /// Directory held; none asks for the whole. Agents ask for no directory.
+    /// Directory position held; `None` requests the whole directory. Agents request none.
     pub mark: Option<Mark>,
-    /// Whether the directory of upstreams is asked for.
+    /// Whether the directory of upstreams is requested.
     pub directory: bool,
-    /// Whether the answer is wanted at once, news or not.
+    /// Whether to answer immediately, even without an update.
     pub eager: bool,
 }
 
-/// What the holder lacks of the configuration in force.
+/// Part of the configuration in force that the holder lacks.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Update {
-    /// Nothing.
+    /// The holder's configuration is in force.
     Same,
-    /// Changes that follow the revision held.
+    /// Changes after the held revision.
     Changes(Vec<Change>),
-    /// All of it.
+    /// All declarations in force.
     Whole(Declarations),
 }
 
-/// News, and the lease that they come with.
+/// Update for a holder and the lease granted with it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct WatchAnswer {
     /// Revision in force.
     pub revision: Revision,
     /// Digest of the configuration in force.
     pub digest: Fingerprint,
-    /// What the holder lacks of it.
+    /// Part of the configuration that the holder lacks.
     pub update: Update,
-    /// Time for which it may be acted on, counted from sending the request.
+    /// Time for which the configuration may be acted on, counted from sending the request.
     pub lease: Duration,
-    /// Lowest fencing number that the agent's upstream may still accept.
+    /// Lowest fencing token that the agent's upstream may still accept.
     pub floor: Fence,
-    /// What the holder lacks of the directory; none if it did not ask.
+    /// Part of the directory that the holder lacks; `None` if it was not requested.
     pub directory: Option<RegistryUpdate>,
 }
--- a/decision/control/src/currency/rotation.rs
+++ b/decision/control/src/currency/rotation.rs
@@ -1,10 +1,10 @@
-//! Order in which a holder turns to the replicas.
+//! Order in which a holder asks the replicas.
 
 use std::time::Duration;
 
 use super::RETRY_PAUSE;
 
-/// Position among the replicas: stays with one that answers, else goes on at once.
+/// Position among the replicas; changes only when the current replica fails.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Rotation {
     replicas: usize,
@@ -13,7 +13,7 @@
 }
 
 impl Rotation {
-    /// Starts at `seed` among `replicas`, so that holders spread over them.
+    /// Starts at `seed` modulo `replicas`, which spreads the holders over them.
     pub const fn new(replicas: usize, seed: usize) -> Self {
         let replicas = if replicas == 0 { 1 } else { replicas };
         Self {
@@ -23,17 +23,17 @@
         }
     }
 
-    /// Replica to ask.
+    /// Index of the replica to ask.
     pub const fn position(&self) -> usize {
         self.position
     }
 
-    /// Notes that the replica answered.
+    /// Records an answer of the replica and resets the count of failures.
     pub const fn succeed(&mut self) {
         self.failures = 0;
     }
 
-    /// Goes on to the next replica and returns how long to pause before asking it.
+    /// Moves to the next replica and returns the delay before asking it.
     pub const fn fail(&mut self) -> Duration {
         self.position = (self.position + 1) % self.replicas;
         self.failures += 1;
--- a/decision/control/src/currency/watch.rs
+++ b/decision/control/src/currency/watch.rs
@@ -1,4 +1,4 @@
-//! Holder side: the configuration in force and the lease on its being current.
+//! Holder side: the configuration in force and its lease.
 
 use pimentotide_model::{
     Declarations, ErrorKind, LeaseExpiryPolicy, Revision, ServiceName, Time, UpstreamName, ZoneName,
@@ -9,42 +9,43 @@
 use crate::declare::{Configuration, advance};
 use crate::machine::Change;
 
-/// What became of an answer.
+/// Effect of an answer on a watch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WatchOutcome {
-    /// The lease is renewed and nothing else changed.
+    /// The lease is renewed; the configuration is unchanged.
     Renewed,
-    /// A newer configuration is in force.
+    /// Another configuration is in force.
     Changed,
-    /// The answer does not fit; the next request has to ask for the whole.
+    /// The update does not lead to the announced revision and digest; the next
+    /// request has to ask for the whole configuration.
     Repair,
-    /// The answer is older than what is in force.
+    /// The answer is older than the configuration in force.
     Stale,
 }
 
-/// Configuration of an entry or an agent.
+/// Configuration of an entry or an agent and the lease on it.
 #[derive(Clone, Debug, Default)]
 pub struct Watch {
     configuration: Option<Configuration>,
     expiry: Time,
-    damaged: bool,
-    heard: Revision,
+    needs_whole: bool,
+    observed: Revision,
 }
 
 impl Watch {
-    /// Takes an answer to a request that was sent at `sent`.
+    /// Applies the answer to a request that was sent at `sent`.
     pub fn receive(&mut self, sent: Time, answer: &WatchAnswer) -> WatchOutcome {
         let held = self.revision();
         if self.configuration.is_some() && answer.revision < held {
             return WatchOutcome::Stale;
         }
-        let Some(next) = self.follow(answer) else {
-            self.damaged = true;
+        let Some(next) = self.build(answer) else {
+            self.needs_whole = true;
             return WatchOutcome::Repair;
         };
         let changed = self.configuration.as_ref().map(Configuration::digest) != Some(next.digest());
         self.configuration = Some(next);
-        self.damaged = false;
+        self.needs_whole = false;
         self.expiry = self.expiry.max(sent + answer.lease.min(LEASE));
         if changed {
             WatchOutcome::Changed
@@ -53,31 +54,31 @@
         }
     }
 
-    /// Notes a revision that came with a message of another process.
+    /// Records a revision received in a message of another process.
     ///
-    /// Tells whether it is newer than all that is known, so that waiting for a
-    /// push is wrong.
+    /// Returns whether it is newer than every revision observed so far, in which
+    /// case the holder should request an update instead of waiting for one.
     pub fn observe_revision(&mut self, revision: Revision) -> bool {
-        let newer = revision > self.heard.max(self.revision());
-        self.heard = self.heard.max(revision);
+        let newer = revision > self.observed.max(self.revision());
+        self.observed = self.observed.max(revision);
         newer
     }
 
-    /// Whether another process has a newer revision.
+    /// Whether another process has reported a newer revision.
     pub fn is_behind(&self) -> bool {
-        self.heard > self.revision()
+        self.observed > self.revision()
     }
 
-    /// Configuration to name in the next request; none asks for the whole.
+    /// Configuration to name in the next request; `None` requests the whole.
     pub fn held(&self) -> Option<Held> {
-        let configuration = self.configuration.as_ref().filter(|_| !self.damaged)?;
+        let configuration = self.configuration.as_ref().filter(|_| !self.needs_whole)?;
         Some(Held {
             revision: configuration.revision,
             digest: configuration.digest(),
         })
     }
 
-    /// Declarations in force; none before the first answer.
+    /// Declarations in force; `None` before the first answer.
     pub fn declarations(&self) -> Option<&Declarations> {
         self.configuration.as_ref().map(Configuration::declarations)
     }
@@ -87,17 +88,17 @@
         self.declarations().map_or(Revision(0), |d| d.revision)
     }
 
-    /// Whether the lease holds at `now`.
+    /// Whether the lease is valid at `now`.
     pub fn is_current(&self, now: Time) -> bool {
         now < self.expiry
     }
 
-    /// When the lease runs out.
+    /// Time at which the lease expires.
     pub fn expiry(&self) -> Time {
         self.expiry
     }
 
-    /// Whether `upstream` in `zone` may take new work of `service`.
+    /// Checks whether `upstream` in `zone` may accept new work of `service`.
     ///
     /// # Errors
     ///
@@ -113,8 +114,8 @@
         admit(declarations, self.is_current(now), service, zone, upstream)
     }
 
-    /// Builds the configuration of an answer; none if it does not match its digest.
-    fn follow(&self, answer: &WatchAnswer) -> Option<Configuration> {
+    /// Builds the configuration of an answer; `None` if its revision or digest differs.
+    fn build(&self, answer: &WatchAnswer) -> Option<Configuration> {
         let next = match &answer.update {
             Update::Same => self.configuration.clone()?,
             Update::Whole(declarations) => {
@@ -141,13 +142,13 @@
     }
 }
 
-/// Whether `upstream` in `zone` may take new work of `service`.
+/// Checks whether `upstream` in `zone` may accept new work of `service`.
 ///
 /// # Errors
 ///
 /// Fails with `OutOfService` if operators have taken the zone or the upstream
-/// out, and with `NotCurrent` if the lease has run out and the service's
-/// profile does not say to serve on.
+/// out of service, and with `NotCurrent` if the lease has expired and the
+/// profile of the service does not allow serving without one.
 pub fn admit(
     declarations: &Declarations,
     current: bool,
