--- a/decision/control/src/declare/action.rs
+++ b/decision/control/src/declare/action.rs
@@ -1,4 +1,4 @@
-//! Orders of operators and what each action does to the declarations.
+//! Operator orders and the effect of each action on the declarations.
 
 use std::fmt;
 
@@ -12,7 +12,7 @@
 use super::document::Document;
 use super::fault::{Fault, Faults};
 
-/// Groups that an action is about.
+/// Groups whose rebalancing an action pauses or resumes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Scope {
@@ -26,27 +26,27 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Action {
-    /// Writes a document over what is in force.
+    /// Merges a document into the declarations in force.
     Apply {
         /// Profiles, services and workspaces.
         document: Document,
-        /// Whether what the document does not name is removed.
+        /// Whether to remove what the document does not name.
         prune: bool,
     },
-    /// Takes a zone in or out of service.
+    /// Puts a zone in or out of service.
     Zone {
-        /// Zone.
+        /// Name of the zone.
         zone: ZoneName,
-        /// Whether it takes new work.
-        standing: AdminState,
+        /// Whether it accepts new work.
+        standing: Standing,
     },
-    /// Takes an upstream in or out of service, or says whether it checks fencing numbers.
+    /// Puts an upstream in or out of service, or sets whether it checks fencing tokens.
     Upstream {
-        /// Upstream.
+        /// Name of the upstream.
         upstream: UpstreamName,
-        /// Whether it takes new work; unchanged if none.
-        standing: Option<AdminState>,
-        /// Whether its engine refuses old fencing numbers; unchanged if none.
+        /// Whether it accepts new work; unchanged if `None`.
+        standing: Option<Standing>,
+        /// Whether its engine rejects outdated fencing tokens; unchanged if `None`.
         fenced: Option<bool>,
     },
     /// Adds or replaces a service.
@@ -94,17 +94,17 @@
     }
 }
 
-/// Most names of one kind in a summary.
-const MAX_SHOWN: usize = 8;
+/// Maximum number of names of one kind in a summary.
+const MAX_SHOWN_NAMES: usize = 8;
 
-/// Lists the first names of a kind, and how many more there are.
+/// Lists the first names of a kind and counts the rest; `None` without names.
 fn names<I>(kind: &str, names: I) -> Option<String>
 where
     I: ExactSizeIterator,
     I::Item: fmt::Display,
 {
-    let more = names.len().saturating_sub(MAX_SHOWN);
-    let shown: Vec<_> = names.take(MAX_SHOWN).map(|n| n.to_string()).collect();
+    let more = names.len().saturating_sub(MAX_SHOWN_NAMES);
+    let shown: Vec<_> = names.take(MAX_SHOWN_NAMES).map(|n| n.to_string()).collect();
     if shown.is_empty() {
         return None;
     }
@@ -124,16 +124,16 @@
     }
 }
 
-/// One order of an operator.
+/// One operator order.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Order {
-    /// Identifier, the same when the order is resent.
+    /// Identifier; the same when the order is resent.
     pub id: OrderId,
-    /// Revision that the operator had in view; none takes whatever is current.
+    /// Revision that the order is based on; `None` applies to any revision.
     pub base: Option<Revision>,
-    /// Who gave it.
+    /// Operator that submitted the order.
     pub actor: String,
-    /// What it changes.
+    /// Change to the declarations.
     pub action: Action,
 }
 
@@ -146,15 +146,15 @@
     }
 }
 
-/// Returns the declarations that `action` turns `current` into, one revision higher.
+/// Applies `action` to `current` and returns the result, one revision higher.
 ///
 /// # Errors
 ///
-/// Returns every fault of the declarations that would be in force.
+/// Returns the faults of the resulting declarations.
 pub fn advance(current: &Declarations, action: &Action) -> Result<Declarations, Vec<Fault>> {
     let mut next = current.clone();
     let mut faults = Faults::default();
-    change(&mut next, action, &mut faults);
+    apply_action(&mut next, action, &mut faults);
     next.revision = current.revision.next();
     let mut found = faults.finish();
     found.extend(check(&next));
@@ -165,7 +165,7 @@
     }
 }
 
-fn change(next: &mut Declarations, action: &Action, faults: &mut Faults) {
+fn apply_action(next: &mut Declarations, action: &Action, faults: &mut Faults) {
     match action {
         Action::Apply { document, prune } => document.merge_into(next, *prune),
         Action::Zone { zone, standing } => {
--- a/decision/control/src/declare/check.rs
+++ b/decision/control/src/declare/check.rs
@@ -1,7 +1,7 @@
 //! Checks of whole declarations: names, bounds and references.
 //!
-//! The checks run on what would be in force, not on the order alone, so an
-//! order can neither add a dangling reference nor remove what is still used.
+//! The checks run on the resulting declarations, not on the order alone, so an
+//! order can neither add a dangling reference nor remove a referenced item.
 
 use std::collections::BTreeSet;
 use std::fmt::Display;
@@ -13,7 +13,7 @@
 use super::bounds;
 use super::fault::{Fault, Faults};
 
-/// Returns every fault of `declarations`.
+/// Returns the faults of `declarations`, bounded in number.
 pub fn check(declarations: &Declarations) -> Vec<Fault> {
     let mut faults = Faults::default();
     check_counts(declarations, &mut faults);
@@ -29,7 +29,7 @@
         check_name("workspaces", name, &workspace.name, &mut faults);
         check_workspace(declarations, workspace, &mut faults);
     }
-    check_places(declarations, &mut faults);
+    check_names(declarations, &mut faults);
     faults.finish()
 }
 
@@ -58,9 +58,9 @@
         ),
         ("paused", declarations.paused.len(), bounds::MAX_PAUSED),
     ];
-    for (key, count, most) in counts {
-        if count > most {
-            faults.add(&[key], format!("expected at most {most}, found {count}"));
+    for (key, count, max) in counts {
+        if count > max {
+            faults.add(&[key], format!("expected at most {max}, found {count}"));
         }
     }
 }
@@ -74,7 +74,7 @@
     }
 }
 
-fn check_places(declarations: &Declarations, faults: &mut Faults) {
+fn check_names(declarations: &Declarations, faults: &mut Faults) {
     let zones = declarations.zones.keys().map(|z| ("zones", z.as_str()));
     let upstreams = declarations.upstreams.keys();
     let upstreams = upstreams.map(|u| ("upstreams", u.as_str()));
@@ -234,7 +234,7 @@
     }
 }
 
-/// Checks of single values below one key.
+/// Checks single values below the path `base`.
 struct Values<'a> {
     base: Vec<&'a str>,
     faults: &'a mut Faults,
@@ -306,5 +306,5 @@
     format!("expected a name of 1 to 128 letters, digits or -_./: and found {shown:?}")
 }
 
-/// Longest part of a wrong name that a fault repeats.
+/// Longest part of an invalid name that a fault repeats, characters.
 const MAX_SHOWN_CHARS: usize = 40;
--- a/decision/control/src/declare/configuration.rs
+++ b/decision/control/src/declare/configuration.rs
@@ -1,4 +1,4 @@
-//! Declarations together with their digest.
+//! Declarations and their digest.
 
 use derive_more::{Deref, Into};
 use pimentotide_model::{Declarations, Fingerprint};
@@ -15,7 +15,7 @@
 }
 
 impl Configuration {
-    /// Takes declarations whose digest another process has computed.
+    /// Combines declarations with the digest that another process has computed.
     ///
     /// Processes of different builds may compute different digests.
     pub fn with_digest(declarations: Declarations, digest: Fingerprint) -> Self {
--- a/decision/control/src/declare/document.rs
+++ b/decision/control/src/declare/document.rs
@@ -7,7 +7,7 @@
 };
 use serde::{Deserialize, Serialize};
 
-/// Profiles, services and workspaces, as one document names them.
+/// Profiles, services and workspaces of one document.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Document {
     /// Profiles by name.
@@ -19,7 +19,7 @@
 }
 
 impl Document {
-    /// Extracts the whole document that is in force.
+    /// Extracts the document in force.
     pub fn of(declarations: &Declarations) -> Self {
         Self {
             profiles: declarations.profiles.clone(),
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Extracts one profile as a document of its own.
+    /// Extracts one profile as a document of its own; `None` if it is not declared.
     pub fn of_profile(declarations: &Declarations, name: &ProfileName) -> Option<Self> {
         let profile = declarations.profiles.get(name)?.clone();
         let mut document = Self::default();
@@ -36,9 +36,9 @@
         Some(document)
     }
 
-    /// Writes the document over what `declarations` hold.
+    /// Merges the document into `declarations`; its items replace those of the same name.
     ///
-    /// With `prune`, whatever the document does not name is removed.
+    /// With `prune`, items that the document does not name are removed.
     pub fn merge_into(&self, declarations: &mut Declarations, prune: bool) {
         if prune {
             declarations.profiles.clear();
--- a/decision/control/src/declare/fault.rs
+++ b/decision/control/src/declare/fault.rs
@@ -1,18 +1,18 @@
-//! What is wrong with declarations that an order would bring into force.
+//! Faults of the declarations that an order would put in force.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// Most faults that one verdict names.
+/// Maximum number of faults listed in one verdict.
 const MAX_FAULTS: usize = 64;
 
-/// One thing that is wrong, and at which key.
+/// One fault and the path of the faulty key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Fault {
-    /// Keys from the top of the document down to the place.
+    /// Keys from the top of the document down to the faulty value.
     pub path: Vec<String>,
-    /// What is wrong and what would be right.
+    /// Description of the fault and of the expected value.
     pub message: String,
 }
 
@@ -33,7 +33,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct Faults {
     found: Vec<Fault>,
-    more: usize,
+    omitted: usize,
 }
 
 impl Faults {
@@ -43,7 +43,7 @@
         M: Into<String>,
     {
         if self.found.len() >= MAX_FAULTS {
-            self.more += 1;
+            self.omitted += 1;
             return;
         }
         self.found.push(Fault {
@@ -52,12 +52,12 @@
         });
     }
 
-    /// Returns all faults; a last one counts those that were left out.
+    /// Returns the faults; if some were omitted, a last one counts them.
     pub(crate) fn finish(mut self) -> Vec<Fault> {
-        if self.more > 0 {
+        if self.omitted > 0 {
             self.found.push(Fault {
                 path: Vec::new(),
-                message: format!("{} further faults", self.more),
+                message: format!("{} further faults", self.omitted),
             });
         }
         self.found
--- a/decision/control/src/declare/text.rs
+++ b/decision/control/src/declare/text.rs
@@ -1,4 +1,4 @@
-//! The document as YAML text: reading with all errors at once, canonical writing.
+//! YAML text of the document: reads with all errors at once, writes canonically.
 
 mod layout;
 
@@ -17,14 +17,15 @@
 
 pub use layout::write_document;
 
-/// Everything that is wrong with a document, with lines.
+/// All problems of a document, with lines.
 pub type ReadError = Problems;
 
-/// Reads a document and checks what would be in force if it were applied to `current`.
+/// Reads a document and checks the result of applying it to `current`.
 ///
 /// # Errors
 ///
-/// Returns every problem: wrong text, unknown keys, bounds and references.
+/// Returns every problem: invalid text, unknown keys, values out of bounds and
+/// dangling references.
 pub fn read_document(
     text: &str,
     current: &Declarations,
@@ -47,7 +48,7 @@
     Err(Problems(problems))
 }
 
-/// Reads a document without regard to what is in force.
+/// Reads a document without checking it against the declarations in force.
 ///
 /// # Errors
 ///
@@ -56,15 +57,15 @@
     read(text, read_top)
 }
 
-/// Adds to each fault the line of its nearest key in `text`.
+/// Converts faults to problems with the line of the nearest key in `text`.
 pub fn locate_faults(text: &str, faults: Vec<Fault>) -> Vec<Problem> {
     if faults.is_empty() {
         return Vec::new();
     }
     let paths: Vec<_> = faults.iter().map(|f| f.path.as_slice()).collect();
     let lines = locate(text, &paths);
-    let placed = faults.into_iter().zip(lines);
-    let problems = placed.map(|(fault, line)| Problem {
+    let located = faults.into_iter().zip(lines);
+    let problems = located.map(|(fault, line)| Problem {
         path: fault.path.join("."),
         line,
         message: fault.message,
--- a/decision/control/src/declare/text/layout.rs
+++ b/decision/control/src/declare/text/layout.rs
@@ -1,4 +1,4 @@
-//! Canonical layout of the document: every key written, names in order.
+//! Canonical layout of the document: defaults are written out, names are sorted.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -83,7 +83,7 @@
     horizon_ms: u64,
 }
 
-/// Writes a document as YAML; reading it gives the same document.
+/// Writes a document as YAML; reading it yields the same document.
 pub fn write_document(document: &Document) -> String {
     let profiles = document.profiles.iter();
     let services = document.services.iter().map(|(name, service)| {
