--- a/decision/control/src/directory/announcer.rs
+++ b/decision/control/src/directory/announcer.rs
@@ -1,16 +1,16 @@
-//! Agent side of the directory.
+//! Agent side of the directory: sends announcements to the replicas.
 
 use pimentotide_model::{Announcement, Fence, Incarnation, Revision, Time, Warmth};
 
 use super::START_GRACE;
 use super::message::{Heartbeat, Notice, Report, ReportAnswer};
 
-/// Whether the agent may go on.
+/// Whether the incarnation of an agent may accept new work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum IncarnationState {
-    /// It is the newest incarnation known.
+    /// It is the newest known incarnation.
     Newest,
-    /// Another process has taken over the name; this one takes no new work.
+    /// Another process has taken over the name; this one accepts no new work.
     Superseded,
 }
 
@@ -18,35 +18,36 @@
 #[derive(Clone, Debug)]
 pub struct Announcer {
     notice: Notice,
-    given: Incarnation,
+    reported: Incarnation,
     warmth: Warmth,
     started: Time,
-    kept: Vec<bool>,
+    acknowledged: Vec<bool>,
     superseded: bool,
 }
 
 impl Announcer {
-    /// Starts to announce to `replicas` replicas.
+    /// Starts announcing to `replicas` replicas.
     ///
     /// The incarnation of `announcement` should be taken from the wall clock at
-    /// the start of the upstream; it is raised if a replica knows a higher one.
+    /// the start of the upstream; it is raised if a replica reports a higher one.
     pub fn new(announcement: Announcement, replicas: usize, now: Time) -> Self {
         Self {
-            given: announcement.incarnation,
+            reported: announcement.incarnation,
             notice: Notice {
                 sequence: 0,
                 announcement,
             },
             warmth: Warmth::Cold,
             started: now,
-            kept: vec![false; replicas],
+            acknowledged: vec![false; replicas],
             superseded: false,
         }
     }
 
-    /// Report to send to a replica now.
+    /// Report to send to a replica now: a heartbeat if the replica has
+    /// acknowledged the current announcement, else the whole announcement.
     pub fn report(&self, replica: usize) -> Report {
-        if !self.kept.get(replica).copied().unwrap_or(false) {
+        if !self.acknowledged.get(replica).copied().unwrap_or(false) {
             return Report::Whole {
                 notice: self.notice.clone(),
                 warmth: self.warmth,
@@ -63,52 +64,55 @@
         })
     }
 
-    /// Takes the answer of a replica to a report of `rank`.
+    /// Applies the answer of a replica to a report of `rank`.
     pub fn receive(
         &mut self,
         replica: usize,
         rank: (Incarnation, u64),
-        heard: ReportAnswer,
+        answer: ReportAnswer,
         now: Time,
     ) -> IncarnationState {
-        match heard {
-            ReportAnswer::Kept if rank == self.notice.rank() => self.set_kept(replica, true),
+        match answer {
+            ReportAnswer::Kept if rank == self.notice.rank() => {
+                self.set_acknowledged(replica, true);
+            }
             ReportAnswer::Kept => {}
-            ReportAnswer::Unknown | ReportAnswer::Refused => self.set_kept(replica, false),
-            ReportAnswer::Outdated { highest } => self.outdated(highest, now),
+            ReportAnswer::Unknown | ReportAnswer::Refused => self.set_acknowledged(replica, false),
+            ReportAnswer::Outdated { highest } => self.handle_outdated(highest, now),
         }
         self.incarnation_state()
     }
 
-    /// Takes what the agent says now; replicas get a changed announcement whole.
+    /// Replaces the announcement; a changed one is sent whole to every replica.
     ///
-    /// Another incarnation than before, be it higher or lower, is a new start.
+    /// An incarnation that differs from the previous one, higher or lower, counts
+    /// as a restart of the upstream.
     pub fn set_announcement(&mut self, mut announcement: Announcement, now: Time) {
-        if announcement.incarnation != self.given {
-            self.given = announcement.incarnation;
-            self.renew(self.given.max(after(self.incarnation())));
+        if announcement.incarnation != self.reported {
+            self.reported = announcement.incarnation;
+            self.set_incarnation(self.reported.max(next_incarnation(self.incarnation())));
             self.warmth = Warmth::Cold;
             self.started = now;
         }
-        let known = &self.notice.announcement;
-        announcement.incarnation = known.incarnation;
-        announcement.revision = known.revision;
-        announcement.fence = known.fence;
-        if announcement != *known {
+        let current = &self.notice.announcement;
+        announcement.incarnation = current.incarnation;
+        announcement.revision = current.revision;
+        announcement.fence = current.fence;
+        if announcement != *current {
             self.notice.announcement = announcement;
             self.notice.sequence += 1;
-            self.kept.fill(false);
+            self.acknowledged.fill(false);
         }
     }
 
-    /// Notes what goes with each sign of life.
+    /// Sets the values that are sent with every heartbeat.
     pub fn set_status(&mut self, revision: Revision, fence: Fence, warmth: Warmth) {
         self.notice.announcement.revision = revision;
         self.notice.announcement.fence = fence;
         self.warmth = warmth;
     }
 
-    /// Rank of the announcement, to be given back with the answer.
+    /// Rank of the announcement, to be passed to [`Self::receive`] with the answer.
     pub fn rank(&self) -> (Incarnation, u64) {
         self.notice.rank()
     }
@@ -118,7 +122,7 @@
         self.notice.announcement.incarnation
     }
 
-    /// Whether the agent may go on.
+    /// Whether a replica has reported a newer incarnation after the start grace.
     pub fn incarnation_state(&self) -> IncarnationState {
         if self.superseded {
             IncarnationState::Superseded
@@ -127,31 +131,31 @@
         }
     }
 
-    fn outdated(&mut self, highest: Incarnation, now: Time) {
+    fn handle_outdated(&mut self, highest: Incarnation, now: Time) {
         if highest <= self.incarnation() {
             return;
         }
         if now.since(self.started) < START_GRACE {
-            self.renew(after(highest));
+            self.set_incarnation(next_incarnation(highest));
         } else {
             self.superseded = true;
         }
     }
 
-    fn renew(&mut self, incarnation: Incarnation) {
+    fn set_incarnation(&mut self, incarnation: Incarnation) {
         self.notice.announcement.incarnation = incarnation;
         self.notice.sequence = 0;
-        self.kept.fill(false);
+        self.acknowledged.fill(false);
     }
 
-    fn set_kept(&mut self, replica: usize, kept: bool) {
-        if let Some(slot) = self.kept.get_mut(replica) {
-            *slot = kept;
+    fn set_acknowledged(&mut self, replica: usize, acknowledged: bool) {
+        if let Some(slot) = self.acknowledged.get_mut(replica) {
+            *slot = acknowledged;
         }
     }
 }
 
-/// Incarnation that follows; the highest one has none, as a hostile answer may name it.
-fn after(incarnation: Incarnation) -> Incarnation {
+/// Returns the next incarnation; saturates, as a hostile answer may name the highest.
+fn next_incarnation(incarnation: Incarnation) -> Incarnation {
     Incarnation(incarnation.0.saturating_add(1))
 }
--- a/decision/control/src/directory/message.rs
+++ b/decision/control/src/directory/message.rs
@@ -5,23 +5,23 @@
 };
 use serde::{Deserialize, Serialize};
 
-/// Announcement and its place among those of one incarnation.
+/// Announcement and its position among those of one incarnation.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Notice {
-    /// Rises with each change within an incarnation.
+    /// Increases with each change within an incarnation.
     pub sequence: u64,
     /// What the agent announces.
     pub announcement: Announcement,
 }
 
 impl Notice {
-    /// Order among all notices of one upstream.
+    /// Sort key among all notices of one upstream: incarnation, then sequence.
     pub fn rank(&self) -> (Incarnation, u64) {
         (self.announcement.incarnation, self.sequence)
     }
 }
 
-/// Sign of life of an agent whose announcement has not changed.
+/// Heartbeat of an agent whose announcement has not changed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Heartbeat {
     /// Upstream of the agent.
@@ -30,24 +30,24 @@
     pub incarnation: Incarnation,
     /// Sequence announced.
     pub sequence: u64,
-    /// Configuration that the agent has in force.
+    /// Revision of the configuration that the agent has in force.
     pub revision: Revision,
-    /// Highest fencing number seen by the agent.
+    /// Highest fencing token accepted or received as a floor by the agent.
     pub fence: Fence,
-    /// How far the upstream has warmed up.
+    /// Warm-up state of the upstream.
     pub warmth: Warmth,
 }
 
-/// Sign of life of an entry.
+/// Heartbeat of an entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Presence {
-    /// Name of the instance.
+    /// Name of the entry's instance.
     pub instance: InstanceName,
     /// Its availability zone.
     pub zone: ZoneName,
-    /// Configuration that it has in force.
+    /// Revision of the configuration that it has in force.
     pub revision: Revision,
-    /// Whether its lease on being current holds.
+    /// Whether its currency lease is valid.
     pub current: bool,
 }
 
@@ -55,16 +55,16 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Report {
-    /// All that an agent announces.
+    /// Full announcement of an agent.
     Whole {
-        /// Announcement.
+        /// Announcement with its sequence.
         notice: Notice,
-        /// How far the upstream has warmed up.
+        /// Warm-up state of the upstream.
         warmth: Warmth,
     },
-    /// An agent is alive and unchanged.
+    /// Heartbeat of an agent whose announcement has not changed.
     Beat(Heartbeat),
-    /// An entry is alive.
+    /// Heartbeat of an entry.
     Entry(Presence),
 }
 
@@ -72,48 +72,48 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ReportAnswer {
-    /// Kept.
+    /// The report is stored, or an equal or newer one already is.
     Kept,
-    /// The replica lacks the announcement; send it whole.
+    /// The replica lacks the announcement; the agent has to send it whole.
     Unknown,
     /// A newer incarnation of this upstream is known.
     Outdated {
         /// Highest incarnation known.
         highest: Incarnation,
     },
-    /// Malformed, or one too many.
+    /// The report is malformed or the directory is full.
     Refused,
 }
 
 /// Position in the directory of one replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Mark {
-    /// Start of the replica.
+    /// Identifies one start of one replica.
     pub epoch: u64,
-    /// Rises with each change.
+    /// Increases with each change of the directory.
     pub version: u64,
-    /// Whether the replica had run long enough to know every living upstream.
+    /// Whether the replica has run long enough to have a report of every live upstream.
     pub settled: bool,
 }
 
-/// An upstream that is no longer in the directory.
+/// Upstream that was removed from the directory.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Departure {
     /// Name of the upstream.
     pub upstream: UpstreamName,
-    /// Incarnation and sequence that have gone.
+    /// Incarnation and sequence that were removed.
     pub rank: (Incarnation, u64),
 }
 
-/// What a follower of the directory lacks.
+/// Part of the directory that a follower lacks.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RegistryUpdate {
-    /// Position that the update leads to.
+    /// Position after the update.
     pub mark: Mark,
     /// Whether `present` holds all upstreams.
     pub whole: bool,
-    /// Upstreams announced or changed.
+    /// Upstreams added or changed.
     pub present: Vec<Notice>,
-    /// Upstreams gone.
+    /// Upstreams removed.
     pub gone: Vec<Departure>,
 }
--- a/decision/control/src/directory/registry.rs
+++ b/decision/control/src/directory/registry.rs
@@ -1,4 +1,4 @@
-//! Replica side of the directory: heartbeats, expiry and versions.
+//! Replica side of the directory: reports, expiry and versions.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -13,17 +13,17 @@
 /// Longest address of an agent, bytes.
 const MAX_ADDRESS_BYTES: usize = 64;
 
-/// Time between two calls of `expire` from which on the replica counts as stalled.
-const STALL: Duration = Duration::from_secs(1);
+/// Interval between two calls of `expire` from which on the replica counts as stalled.
+const STALL_THRESHOLD: Duration = Duration::from_secs(1);
 
 /// One upstream in the directory.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Member {
-    /// What its agent announced.
+    /// Latest announcement of its agent.
     pub notice: Notice,
-    /// How far it has warmed up.
+    /// Warm-up state in the latest report.
     pub warmth: Warmth,
-    heard: Time,
+    received_at: Time,
     version: u64,
 }
 
@@ -32,56 +32,57 @@
 pub struct Registry {
     epoch: u64,
     started: Time,
-    ticked: Time,
+    last_tick: Time,
     version: u64,
     members: BTreeMap<UpstreamName, Member>,
     departures: VecDeque<(u64, Departure)>,
-    forgotten: u64,
+    /// Version of the latest departure that was evicted.
+    evicted_version: u64,
     entries: BTreeMap<InstanceName, (Presence, Time)>,
 }
 
 impl Registry {
-    /// Starts empty; `epoch` differs for each start of any replica.
+    /// Creates an empty registry; `epoch` differs for each start of any replica.
     pub fn new(epoch: u64, now: Time) -> Self {
         Self {
             epoch,
             started: now,
-            ticked: now,
+            last_tick: now,
             version: 0,
             members: BTreeMap::new(),
             departures: VecDeque::new(),
-            forgotten: 0,
+            evicted_version: 0,
             entries: BTreeMap::new(),
         }
     }
 
-    /// Takes a report.
+    /// Applies a report of an agent or an entry.
     pub fn receive(&mut self, report: Report, now: Time) -> ReportAnswer {
         match report {
-            Report::Whole { notice, warmth } => self.hear_notice(notice, warmth, now),
-            Report::Beat(beat) => self.hear_beat(&beat, now),
-            Report::Entry(presence) => self.hear_entry(presence, now),
+            Report::Whole { notice, warmth } => self.receive_notice(notice, warmth, now),
+            Report::Beat(beat) => self.receive_heartbeat(&beat, now),
+            Report::Entry(presence) => self.receive_presence(presence, now),
         }
     }
 
-    /// Drops what has not reported in time; tells whether upstreams were dropped.
+    /// Removes what has not reported in time; returns whether upstreams were removed.
     ///
-    /// A replica that was itself stalled could not hear reports; it drops
+    /// A replica that was itself stalled could not receive reports; it removes
     /// nothing and counts as just started.
     pub fn expire(&mut self, now: Time) -> bool {
-        let stalled = now.since(self.ticked) >= STALL;
-        self.ticked = now;
+        let stalled = now.since(self.last_tick) >= STALL_THRESHOLD;
+        self.last_tick = now;
         if stalled {
-            self.start_over(now);
+            self.restart_timers(now);
             return false;
         }
         self.entries
-            .retain(|_, (_, heard)| now.since(*heard) < EXPIRY_TIMEOUT);
-        let late = |member: &Member| now.since(member.heard) >= EXPIRY_TIMEOUT;
+            .retain(|_, (_, received_at)| now.since(*received_at) < EXPIRY_TIMEOUT);
+        let expired = |member: &Member| now.since(member.received_at) >= EXPIRY_TIMEOUT;
         let gone: Vec<_> = self
             .members
             .iter()
-            .filter(|(_, member)| late(member))
+            .filter(|(_, member)| expired(member))
             .map(|(name, _)| name.clone())
             .collect();
         for name in &gone {
@@ -90,17 +91,17 @@
         !gone.is_empty()
     }
 
-    /// Rises with each change of what followers are told.
+    /// Increases with each change that followers receive.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// Whether a follower at `mark` lacks something.
+    /// Whether a follower at `mark` lacks an update.
     pub fn has_update(&self, mark: Option<Mark>, now: Time) -> bool {
         mark != Some(self.mark(now))
     }
 
-    /// Collects what a follower at `mark` lacks.
+    /// Collects the changes since `mark`, or all upstreams if they are not retained.
     pub fn update_since(&self, mark: Option<Mark>, now: Time) -> RegistryUpdate {
         let current = self.mark(now);
         let known = mark.filter(|m| self.can_follow(*m, current));
@@ -124,18 +125,18 @@
         self.members.values()
     }
 
-    /// Entries that report.
+    /// Entries that have reported in time.
     pub fn entries(&self) -> impl Iterator<Item = &Presence> {
         self.entries.values().map(|(presence, _)| presence)
     }
 
-    fn start_over(&mut self, now: Time) {
+    fn restart_timers(&mut self, now: Time) {
         self.started = now;
         for member in self.members.values_mut() {
-            member.heard = now;
+            member.received_at = now;
         }
-        for (_, heard) in self.entries.values_mut() {
-            *heard = now;
+        for (_, received_at) in self.entries.values_mut() {
+            *received_at = now;
         }
     }
 
@@ -150,45 +151,45 @@
     fn can_follow(&self, mark: Mark, current: Mark) -> bool {
         mark.epoch == self.epoch
             && mark.settled == current.settled
-            && mark.version >= self.forgotten
+            && mark.version >= self.evicted_version
             && mark.version <= self.version
     }
 
-    fn hear_notice(&mut self, notice: Notice, warmth: Warmth, now: Time) -> ReportAnswer {
+    fn receive_notice(&mut self, notice: Notice, warmth: Warmth, now: Time) -> ReportAnswer {
         if !is_well_formed(&notice) {
             return ReportAnswer::Refused;
         }
         let name = notice.announcement.upstream.clone();
-        let known = self.members.get(&name).map(|m| m.notice.rank());
+        let stored = self.members.get(&name).map(|m| m.notice.rank());
         let highest = self.highest(&name);
         if notice.announcement.incarnation < highest {
             return ReportAnswer::Outdated { highest };
         }
-        if known.is_none() && self.members.len() >= MAX_MEMBERS {
+        if stored.is_none() && self.members.len() >= MAX_MEMBERS {
             return ReportAnswer::Refused;
         }
-        if known.is_some_and(|rank| notice.rank() < rank) {
+        if stored.is_some_and(|rank| notice.rank() < rank) {
             return ReportAnswer::Kept;
         }
-        if known.is_none() {
+        if stored.is_none() {
             self.departures.retain(|(_, d)| d.upstream != name);
         }
-        if known != Some(notice.rank()) {
+        if stored != Some(notice.rank()) {
             self.version += 1;
         }
         let version = self.members.get(&name).map(|m| m.version);
-        let unchanged = known == Some(notice.rank());
+        let unchanged = stored == Some(notice.rank());
         let member = Member {
             version: version.filter(|_| unchanged).unwrap_or(self.version),
             notice,
             warmth,
-            heard: now,
+            received_at: now,
         };
         self.members.insert(name, member);
         ReportAnswer::Kept
     }
 
-    fn hear_beat(&mut self, beat: &Heartbeat, now: Time) -> ReportAnswer {
+    fn receive_heartbeat(&mut self, beat: &Heartbeat, now: Time) -> ReportAnswer {
         let highest = self.highest(&beat.upstream);
         if beat.incarnation < highest {
             return ReportAnswer::Outdated { highest };
@@ -199,14 +200,14 @@
         if member.notice.rank() != (beat.incarnation, beat.sequence) {
             return ReportAnswer::Unknown;
         }
-        member.heard = now;
+        member.received_at = now;
         member.warmth = beat.warmth;
         member.notice.announcement.revision = beat.revision;
         member.notice.announcement.fence = beat.fence;
         ReportAnswer::Kept
     }
 
-    fn hear_entry(&mut self, presence: Presence, now: Time) -> ReportAnswer {
+    fn receive_presence(&mut self, presence: Presence, now: Time) -> ReportAnswer {
         let full = self.entries.len() >= MAX_ENTRIES;
         let known = self.entries.contains_key(&presence.instance);
         let named =
@@ -219,7 +220,7 @@
         ReportAnswer::Kept
     }
 
-    /// Highest incarnation known of an upstream, also of one that has gone.
+    /// Highest known incarnation of an upstream, including a departed one.
     fn highest(&self, name: &UpstreamName) -> Incarnation {
         if let Some(member) = self.members.get(name) {
             return member.notice.announcement.incarnation;
@@ -241,7 +242,7 @@
         if self.departures.len() > MAX_DEPARTURES
             && let Some((version, _)) = self.departures.pop_front()
         {
-            self.forgotten = version;
+            self.evicted_version = version;
         }
     }
 }
--- a/decision/control/src/directory/view.rs
+++ b/decision/control/src/directory/view.rs
@@ -1,4 +1,4 @@
-//! Follower side of the directory.
+//! Entry side of the directory: a copy that follows the registry of a replica.
 
 use std::collections::BTreeMap;
 
@@ -6,21 +6,22 @@
 
 use super::message::{Mark, Notice, RegistryUpdate};
 
-/// What an update changed.
+/// Change that an update made to a view.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// A new incarnation: cold, and with nothing in its cache.
+    /// A new incarnation, cold and with an empty cache.
     Started(Announcement),
-    /// The same incarnation announces something else.
+    /// A changed announcement of the same incarnation.
     Changed(Announcement),
-    /// No longer in the directory.
+    /// The upstream is no longer in the directory.
     Gone(UpstreamName),
 }
 
-/// Directory as an entry knows it.
+/// Copy of the directory in an entry.
 ///
-/// Within each upstream it never goes back to an older notice. A replica that
-/// has just started knows few upstreams; its word adds but does not remove.
+/// The notice of an upstream is never replaced by an older one. A replica that
+/// has just started has reports of few upstreams, so its whole update adds
+/// upstreams but removes none.
 #[derive(Clone, Debug, Default)]
 pub struct View {
     mark: Option<Mark>,
@@ -28,27 +29,27 @@
 }
 
 impl View {
-    /// Position to name in the next request; none asks for the whole.
+    /// Position to name in the next request; `None` requests the whole directory.
     pub fn mark(&self) -> Option<Mark> {
         self.mark
     }
 
-    /// Forgets the position, as when another replica is asked.
+    /// Clears the position, as before asking another replica.
     pub fn detach(&mut self) {
         self.mark = None;
     }
 
-    /// Upstreams known.
+    /// Announcements of all upstreams in the view.
     pub fn announcements(&self) -> impl Iterator<Item = &Announcement> {
         self.notices.values().map(|n| &n.announcement)
     }
 
-    /// Announcement of one upstream.
+    /// Announcement of one upstream; `None` if it is not in the view.
     pub fn get(&self, name: &UpstreamName) -> Option<&Announcement> {
         self.notices.get(name).map(|n| &n.announcement)
     }
 
-    /// Takes an update and returns what it changed.
+    /// Applies an update and returns the changes that it made.
     pub fn receive(&mut self, update: &RegistryUpdate) -> Vec<Event> {
         if !self.fits(update) {
             return Vec::new();
@@ -59,7 +60,7 @@
             events.extend(self.insert(notice));
         }
         if update.whole && update.mark.settled {
-            self.retain_only(update, &mut events);
+            self.remove_absent(update, &mut events);
         }
         for departure in &update.gone {
             let held = self.notices.get(&departure.upstream);
@@ -71,7 +72,7 @@
         events
     }
 
-    /// Whether the update starts from a position that this view has.
+    /// Whether the update can be applied at the position of this view.
     fn fits(&self, update: &RegistryUpdate) -> bool {
         let Some(mark) = self.mark else {
             return update.whole;
@@ -97,7 +98,7 @@
         }
     }
 
-    fn retain_only(&mut self, update: &RegistryUpdate, events: &mut Vec<Event>) {
+    fn remove_absent(&mut self, update: &RegistryUpdate, events: &mut Vec<Event>) {
         let mut present: Vec<_> = update.present.iter().map(name_of).collect();
         present.sort_unstable();
         let absent = |name: &UpstreamName| present.binary_search(&name).is_err();
