--- a/decision/control/tests/it/size.rs
+++ b/decision/control/tests/it/size.rs
@@ -84,9 +84,9 @@
         row("answer to a report", &ReportAnswer::Kept),
         row("notice in a delta", &notice),
         row("watch request", &request),
-        row("watch answer, agent, no news", &answer(None)),
+        row("watch answer, agent, no update", &answer(None)),
         row(
-            "watch answer, entry, no news",
+            "watch answer, entry, no update",
             &answer(Some(update(Vec::new()))),
         ),
         row(
