--- a/app/src/fleet/control/desk.rs
+++ b/app/src/fleet/control/desk.rs
@@ -173,7 +173,7 @@
             .query(|s, _| s.upstreams().values().cloned().collect::<Vec<_>>())
             .await?;
         let mut seen = self.seen.lock().unwrap_or_else(PoisonError::into_inner);
-        seen.retain(|name, _| records.iter().any(|r| r.said.upstream == *name));
+        seen.retain(|name, _| records.iter().any(|r| r.announcement.upstream == *name));
         let silent = records.into_iter().filter(|r| age_of(&mut seen, r) >= age);
         Ok(silent.collect())
     }
@@ -186,11 +186,11 @@
 
 fn age_of(seen: &mut BTreeMap<UpstreamName, (Time, Instant)>, record: &Record) -> Duration {
     let now = Instant::now();
-    let name = &record.said.upstream;
+    let name = &record.announcement.upstream;
     match seen.get(name) {
-        Some((heard, since)) if *heard == record.heard => since.elapsed(),
+        Some((heard, since)) if *heard == record.received_at => since.elapsed(),
         _ => {
-            seen.insert(name.clone(), (record.heard, now));
+            seen.insert(name.clone(), (record.received_at, now));
             Duration::ZERO
         }
     }
@@ -259,7 +259,7 @@
             .replica
             .query(move |s, _| {
                 let record = s.upstreams().get(&asked.upstream).cloned();
-                (s.is_stale(&asked), s.is_news(&asked), record)
+                (s.is_stale(&asked), s.is_update(&asked), record)
             })
             .await?;
         let due = match known {
--- a/app/src/fleet/control/membership.rs
+++ b/app/src/fleet/control/membership.rs
@@ -66,8 +66,8 @@
             data: settings.data.clone().unwrap_or_default(),
             token,
             repairs: RepairOptions {
-                silence: SILENCE,
-                floor: 2 * settings.loss + 1,
+                max_silence: SILENCE,
+                min_voters: 2 * settings.loss + 1,
             },
             metrics,
             told: Arc::default(),
@@ -114,7 +114,7 @@
                 name: name.clone(),
                 disk,
                 voter,
-                silent: now.duration_since(*last),
+                silent_for: now.duration_since(*last),
             }
         };
         let config = &status.log.config;
--- a/app/src/fleet/control/upkeep.rs
+++ b/app/src/fleet/control/upkeep.rs
@@ -31,8 +31,8 @@
         };
         for record in silent {
             let command = Command::Expire {
-                upstream: record.said.upstream,
-                heard: record.heard,
+                upstream: record.announcement.upstream,
+                received_at: record.received_at,
             };
             // The outcome is logged with the order; the next look tries again.
             let _ = desk.order(&command).await;
--- a/app/src/fleet/entry/attempt.rs
+++ b/app/src/fleet/entry/attempt.rs
@@ -148,7 +148,10 @@
     fn judge(&self, answer: Answer, held: HeldTicket) -> Result<Running, SendError> {
         if let Some(load) = answer.load {
             let now = self.state.now();
-            self.state.known().balancer.tell(&held.upstream, load, now);
+            self.state
+                .known()
+                .balancer
+                .report_load(&held.upstream, load, now);
         }
         let upstream = held.upstream.clone();
         if answer.not_run {
@@ -160,7 +163,7 @@
             held.end(outcome);
             return Err(SendError::Ended(Ended::Rejected, upstream));
         }
-        self.state.known().gate(&self.service).accepted();
+        self.state.known().gate(&self.service).record_accepted();
         if matches!(answer.status.as_u16(), 408 | 421 | 429 | 503) {
             // It does not say that the request did not run, so the status cannot be passed on.
             held.end(Outcome::Failed);
@@ -172,11 +175,11 @@
     /// Decides what follows a send and logs it.
     pub(super) fn after(&mut self, ended: Ended, upstream: &UpstreamName, events: u64) -> Step {
         match ended {
-            Ended::Unsent => self.policy.unrun += 1,
+            Ended::Unsent => self.policy.not_run += 1,
             Ended::Rejected => {
-                self.policy.unrun += 1;
+                self.policy.not_run += 1;
                 let now = self.state.now();
-                self.state.known().gate(&self.service).refused(now);
+                self.state.known().gate(&self.service).record_refused(now);
             }
             Ended::Broken | Ended::Failed | Ended::Silent => self.policy.ran += 1,
         }
--- a/app/src/fleet/entry/mod.rs
+++ b/app/src/fleet/entry/mod.rs
@@ -109,7 +109,7 @@
         loop {
             tokio::time::sleep(LOOK).await;
             match stop_phase(start.elapsed(), self.state.open_requests(), self.grace) {
-                StopPhase::Taking => {}
+                StopPhase::Accepting => {}
                 StopPhase::Refusing => self.state.refuse_new(),
                 StopPhase::Ended => break,
             }
--- a/app/src/fleet/entry/placing.rs
+++ b/app/src/fleet/entry/placing.rs
@@ -2,7 +2,9 @@
 
 use std::time::Duration;
 
-use pimentotide_fleet::{Admission, Ask, Choice, Refusal, Return, RouteKind, is_in_time};
+use pimentotide_fleet::{
+    Admission, Choice, ChoiceRequest, Refusal, RetryWindow, RouteKind, is_in_time,
+};
 use pimentotide_model::{ErrorKind, Failure, Ran};
 
 use super::attempt::Attempt;
@@ -69,10 +71,10 @@
                 again: Some(pause),
             });
         }
-        let ask = Ask {
+        let ask = ChoiceRequest {
             service: &self.service,
             tried: &self.tried,
-            patient: false,
+            may_queue: false,
         };
         let choice = known.balancer.choose(&ask, now, &mut rand::rng());
         if choice.is_ok() && self.sends == 0 {
@@ -98,13 +100,13 @@
             RouteKind::Streaming => USUAL_STREAM,
             RouteKind::Idempotent | RouteKind::NonIdempotent => USUAL_WHOLE,
         };
-        let back = Return {
-            least,
-            most: MOST_RETURN.min(self.left().mul_f64(RETURN_PART)).max(least),
+        let back = RetryWindow {
+            min_delay: least,
+            max_delay: MOST_RETURN.min(self.left().mul_f64(RETURN_PART)).max(least),
             rate: known.balancer.spare_rate(&self.service, usual, now),
         };
         let row = known.returns.entry(self.service.clone()).or_default();
-        failure.with_retry(row.place(&back, now, &mut rand::rng()))
+        failure.with_retry(row.assign(&back, now, &mut rand::rng()))
     }
 }
 
--- a/app/src/fleet/entry/relay.rs
+++ b/app/src/fleet/entry/relay.rs
@@ -70,7 +70,7 @@
             repeatable: found.route.repeatable(),
             attempts: found.route.attempts,
             ran: 0,
-            unrun: 0,
+            not_run: 0,
             deadline: self.state.clock().at(call.received) + patience,
         };
         let kind = found.route.kind;
--- a/app/src/fleet/entry/state.rs
+++ b/app/src/fleet/entry/state.rs
@@ -7,8 +7,8 @@
 use std::time::Duration;
 
 use pimentotide_fleet::{
-    Balancer, BalancerOptions, BudgetOptions, ColdLimit, EntryCount, EntryPlace, Outcome,
-    RepeatBudget, ReturnRow, RouteTable, ServiceGate, Ticket,
+    Balancer, BalancerOptions, BudgetOptions, ColdLimit, EntryCount, EntryPosition, Outcome,
+    RetryAfterSchedule, RetryBudget, RouteTable, ServiceGate, Ticket,
 };
 use pimentotide_instance::Clock;
 use pimentotide_model::{ErrorKind, Failure, ServiceName, Time, ZoneName};
@@ -45,9 +45,9 @@
 pub(super) struct Known {
     pub(super) table: Option<Arc<RouteTable>>,
     pub(super) balancer: Balancer,
-    pub(super) budget: RepeatBudget,
+    pub(super) budget: RetryBudget,
     /// Callers that were sent away, by service.
-    pub(super) returns: BTreeMap<ServiceName, ReturnRow>,
+    pub(super) returns: BTreeMap<ServiceName, RetryAfterSchedule>,
     /// Refusals of upstreams, by service.
     gates: BTreeMap<ServiceName, ServiceGate>,
     seen: Seen,
@@ -87,7 +87,7 @@
             held: Mutex::new(Known {
                 table: None,
                 balancer,
-                budget: RepeatBudget::new(budget, first),
+                budget: RetryBudget::new(budget, first),
                 returns: BTreeMap::new(),
                 gates: BTreeMap::new(),
                 seen: Seen::default(),
@@ -150,13 +150,13 @@
                 .iter()
                 .filter_map(|(name, s)| Some((name.clone(), s.cold?)))
                 .collect();
-            known.balancer.set_colds(colds);
+            known.balancer.set_cold_limits(colds);
             known.table = Some(Arc::new(RouteTable::new(declaration)));
             known.seen.declared = document.index;
         }
         known.count_entries(news.entries.len(), news.recorded, now);
-        if let Some(place) = EntryPlace::among(&self.callers, &news.entries) {
-            known.balancer.set_place(place);
+        if let Some(place) = EntryPosition::among(&self.callers, &news.entries) {
+            known.balancer.set_position(place);
         }
         known.list = news.entries;
         if let Some(fleet) = news.fleet
@@ -205,7 +205,7 @@
         let now = self.now();
         let current = self.is_current();
         let known = self.known();
-        let census = known.balancer.census(now);
+        let census = known.balancer.counts(now);
         let states = [
             ("usable", census.usable),
             ("cold", census.cold),
@@ -235,7 +235,7 @@
             ("scope", "requests"),
             self.open_requests() as u64,
         );
-        metrics.gauge("entry.open", ("scope", "sends"), census.sent as u64);
+        metrics.gauge("entry.open", ("scope", "sends"), census.in_flight as u64);
     }
 
     /// Routes, if they may be acted on.
@@ -266,7 +266,7 @@
 
     pub(super) fn ended(&self, ticket: &Ticket, outcome: Outcome) {
         let now = self.now();
-        let ejected = self.known().balancer.ended(ticket, outcome, now);
+        let ejected = self.known().balancer.finish(ticket, outcome, now);
         if ejected {
             self.metrics
                 .count("entry.ejections", ("scope", "upstream"), 1);
@@ -326,7 +326,7 @@
                 revision,
             });
         }
-        for news in self.balancer.learn(fleet.closed, fleet.upstreams, now) {
+        for news in self.balancer.update(fleet.closed, fleet.upstreams, now) {
             pimentotide_observe::event(&UpstreamChanged {
                 upstream: news.upstream.to_string(),
                 zone: news.zone.to_string(),
@@ -357,7 +357,7 @@
     }
 
     fn count_entries(&mut self, heard: usize, recorded: usize, now: Time) {
-        self.entries.tell(heard, recorded, now);
+        self.entries.update(heard, recorded, now);
         let entries = self.entries.get(now);
         self.balancer.set_entries(entries, now);
         self.budget.set_entries(entries, now);
--- a/decision/fleet/src/balancer.rs
+++ b/decision/fleet/src/balancer.rs
@@ -20,7 +20,7 @@
 use rand::{Rng, RngExt};
 
 use crate::upstream::{Cold, Upstream};
-use crate::{ColdLimit, FleetState, Load, Outcome, RateLimit, Record, Stage, UpstreamNews};
+use crate::{ColdLimit, FleetState, Load, Outcome, RateLimit, Record, Stage, UpstreamEvent};
 
 /// Load by which an upstream in another availability zone counts as more loaded.
 const ZONE_PENALTY: f64 = 0.02;
@@ -52,13 +52,13 @@
 
 /// Request that looks for an upstream.
 #[derive(Clone, Copy, Debug)]
-pub struct Ask<'a> {
+pub struct ChoiceRequest<'a> {
     /// Service.
     pub service: &'a ServiceName,
     /// Upstreams that it was sent to already; chosen only if there is no other.
     pub tried: &'a [UpstreamName],
     /// Whether it may wait at an upstream that is full.
-    pub patient: bool,
+    pub may_queue: bool,
 }
 
 /// Request under way at an upstream; handed back when it has ended.
@@ -99,7 +99,7 @@
 
 /// Number of upstreams in each state.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Census {
+pub struct UpstreamCounts {
     /// Takes new work.
     pub usable: usize,
     /// Takes little, since it is cold.
@@ -109,19 +109,19 @@
     /// Draining, or in a zone out of service.
     pub out: usize,
     /// Requests of this entry under way at all of them.
-    pub sent: usize,
+    pub in_flight: usize,
 }
 
 /// Place of an entry among all that take callers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct EntryPlace {
+pub struct EntryPosition {
     /// Entries that come before it.
-    pub before: usize,
+    pub index: usize,
     /// All entries, at least one.
-    pub all: usize,
+    pub count: usize,
 }
 
-impl EntryPlace {
+impl EntryPosition {
     /// Finds the place of one of the entries; none if it is not among them.
     pub fn among<E>(own: &E, entries: &[E]) -> Option<Self>
     where
@@ -129,17 +129,22 @@
     {
         let before = entries.iter().filter(|e| *e < own).count();
         let all = entries.len();
-        entries.contains(own).then_some(Self { before, all })
+        entries.contains(own).then_some(Self {
+            index: before,
+            count: all,
+        })
     }
 
     /// First of `count` upstreams that the entry keeps to.
     fn first_of(self, count: usize) -> usize {
-        self.before * count / self.all.max(1) % count.max(1)
+        self.index * count / self.count.max(1) % count.max(1)
     }
 
     /// Number of upstreams that the entry keeps to.
     fn own_of(self, count: usize) -> usize {
-        (count * SHARED_BY).div_ceil(self.all.max(1)).max(LEAST_OWN)
+        (count * SHARED_BY)
+            .div_ceil(self.count.max(1))
+            .max(LEAST_OWN)
     }
 }
 
@@ -147,7 +152,7 @@
 #[derive(Debug)]
 pub struct Balancer {
     options: BalancerOptions,
-    place: EntryPlace,
+    place: EntryPosition,
     entries: usize,
     closed: BTreeSet<ZoneName>,
     upstreams: BTreeMap<UpstreamName, Upstream>,
@@ -159,7 +164,7 @@
     pub fn new(options: BalancerOptions) -> Self {
         Self {
             options,
-            place: EntryPlace::default(),
+            place: EntryPosition::default(),
             entries: 1,
             closed: BTreeSet::new(),
             upstreams: BTreeMap::new(),
@@ -182,22 +187,22 @@
     }
 
     /// Place of this entry, by which it keeps to its own upstreams.
-    pub fn set_place(&mut self, place: EntryPlace) {
+    pub fn set_position(&mut self, place: EntryPosition) {
         self.place = place;
     }
 
     /// What upstreams of each service bear while they are cold.
-    pub fn set_colds(&mut self, colds: BTreeMap<ServiceName, ColdLimit>) {
+    pub fn set_cold_limits(&mut self, colds: BTreeMap<ServiceName, ColdLimit>) {
         self.colds = colds;
     }
 
     /// Takes over the shared state of zones and upstreams; returns what is new of each upstream.
-    pub fn learn<I>(
+    pub fn update<I>(
         &mut self,
         closed: BTreeSet<ZoneName>,
         records: I,
         now: Time,
-    ) -> Vec<UpstreamNews>
+    ) -> Vec<UpstreamEvent>
     where
         I: IntoIterator<Item = Record>,
     {
@@ -205,15 +210,15 @@
         let mut old = std::mem::take(&mut self.upstreams);
         let mut news = Vec::new();
         for record in records {
-            let known = old.remove(&record.said.upstream);
+            let known = old.remove(&record.announcement.upstream);
             let before = known.as_ref().map(|k| &k.record);
-            news.extend(UpstreamNews::between(before, Some(&record)));
+            news.extend(UpstreamEvent::between(before, Some(&record)));
             let upstream = self.renew(known, record, now);
             self.upstreams
-                .insert(upstream.record.said.upstream.clone(), upstream);
+                .insert(upstream.record.announcement.upstream.clone(), upstream);
         }
         let left = old.values().map(|k| &k.record);
-        news.extend(left.filter_map(|k| UpstreamNews::between(Some(k), None)));
+        news.extend(left.filter_map(|k| UpstreamEvent::between(Some(k), None)));
         news
     }
 
@@ -223,10 +228,10 @@
     }
 
     /// Upstreams known, by what may be sent to them.
-    pub fn census(&self, now: Time) -> Census {
-        let mut census = Census::default();
+    pub fn counts(&self, now: Time) -> UpstreamCounts {
+        let mut census = UpstreamCounts::default();
         for upstream in self.upstreams.values() {
-            let said = &upstream.record.said;
+            let said = &upstream.record.announcement;
             let count = if said.stage == Stage::Draining || self.closed.contains(&said.zone) {
                 &mut census.out
             } else if upstream.is_ejected(now) {
@@ -237,7 +242,7 @@
                 &mut census.usable
             };
             *count += 1;
-            census.sent += upstream.mine as usize;
+            census.in_flight += upstream.mine as usize;
         }
         census
     }
@@ -247,7 +252,7 @@
     /// `usual` is the time that a request takes there.
     pub fn spare_rate(&self, service: &ServiceName, usual: Duration, now: Time) -> f64 {
         let serving = self.upstreams.values().filter(|u| {
-            let said = &u.record.said;
+            let said = &u.record.announcement;
             said.service == *service && !u.gone && !self.closed.contains(&said.zone)
         });
         let rates = serving.map(|u| {
@@ -258,22 +263,22 @@
         rates.sum::<f64>() * SPARE_PART / self.entries as f64
     }
 
-    /// Takes over the whole shared state, as [`learn`](Self::learn).
-    pub fn learn_state(&mut self, state: &FleetState, now: Time) {
+    /// Takes over the whole shared state, as [`update`](Self::update).
+    pub fn update_from_state(&mut self, state: &FleetState, now: Time) {
         let records: Vec<Record> = state.upstreams().values().cloned().collect();
         // What is new is told only where the state is followed.
-        let _ = self.learn(state.closed().clone(), records, now);
+        let _ = self.update(state.closed().clone(), records, now);
     }
 
     fn renew(&self, known: Option<Upstream>, record: Record, now: Time) -> Upstream {
-        let known = known.filter(|k| k.record.said.born == record.said.born);
+        let known = known.filter(|k| k.record.announcement.born == record.announcement.born);
         let chilled = known
             .as_ref()
-            .is_none_or(|k| k.record.chilled != record.chilled);
-        let limit = self.colds.get(&record.said.service);
+            .is_none_or(|k| k.record.cold_index != record.cold_index);
+        let limit = self.colds.get(&record.announcement.service);
         let mut upstream = match known {
             Some(mut upstream) => {
-                if upstream.record.said.address != record.said.address {
+                if upstream.record.announcement.address != record.announcement.address {
                     upstream.gone = false;
                 }
                 upstream.record = record;
@@ -281,7 +286,7 @@
             }
             None => Upstream::new(record),
         };
-        let cold_ms = upstream.record.said.cold_ms;
+        let cold_ms = upstream.record.announcement.cold_ms;
         if cold_ms == 0 {
             upstream.cold = None;
         } else if let (true, Some(limit)) = (chilled, limit) {
@@ -296,7 +301,7 @@
     }
 
     /// Notes the load that an upstream told.
-    pub fn tell(&mut self, upstream: &UpstreamName, load: Load, now: Time) {
+    pub fn report_load(&mut self, upstream: &UpstreamName, load: Load, now: Time) {
         if let Some(upstream) = self.upstreams.get_mut(upstream) {
             upstream.tell(load, now);
         }
@@ -307,16 +312,21 @@
     /// # Errors
     ///
     /// Fails if no upstream can take the request now.
-    pub fn choose<R>(&mut self, ask: &Ask<'_>, now: Time, rng: &mut R) -> Result<Choice, Refusal>
+    pub fn choose<R>(
+        &mut self,
+        ask: &ChoiceRequest<'_>,
+        now: Time,
+        rng: &mut R,
+    ) -> Result<Choice, Refusal>
     where
         R: Rng,
     {
         let mut fit: Vec<&mut Upstream> = self
             .upstreams
             .values_mut()
-            .filter(|u| u.record.said.service == *ask.service)
-            .filter(|u| u.record.said.stage == Stage::Ready && !u.gone)
-            .filter(|u| !self.closed.contains(&u.record.said.zone))
+            .filter(|u| u.record.announcement.service == *ask.service)
+            .filter(|u| u.record.announcement.stage == Stage::Ready && !u.gone)
+            .filter(|u| !self.closed.contains(&u.record.announcement.zone))
             .collect();
         if fit.is_empty() {
             return Err(Refusal::Empty);
@@ -324,7 +334,7 @@
         // The own upstreams come first, by places that all entries count alike.
         let (first, own) = (self.place.first_of(fit.len()), self.place.own_of(fit.len()));
         fit.rotate_left(first);
-        let is_new = |u: &Upstream| !ask.tried.contains(&u.record.said.upstream);
+        let is_new = |u: &Upstream| !ask.tried.contains(&u.record.announcement.upstream);
         if fit.iter().any(|u| is_new(u)) {
             fit.retain(|u| is_new(u));
         }
@@ -341,7 +351,7 @@
             |u: &Upstream| now >= u.full && u.outstanding() < f64::from(u.slots()) * (1.0 + queue);
         if fit.iter().any(|u| has_room(u)) {
             fit.retain(|u| has_room(u));
-        } else if !ask.patient {
+        } else if !ask.may_queue {
             return Err(Refusal::Full);
         }
         let is_free = |u: &&mut Upstream| u.outstanding() < f64::from(u.slots());
@@ -351,7 +361,7 @@
         let candidates = fit.len();
         let zone = &self.options.zone;
         let mut score = |u: &Upstream| {
-            let away = if u.record.said.zone == *zone {
+            let away = if u.record.announcement.zone == *zone {
                 0.0
             } else {
                 ZONE_PENALTY
@@ -365,7 +375,7 @@
         };
         let outstanding = upstream.outstanding();
         upstream.sent(now);
-        let said = &upstream.record.said;
+        let said = &upstream.record.announcement;
         Ok(Choice {
             ticket: Ticket {
                 upstream: said.upstream.clone(),
@@ -378,9 +388,9 @@
     }
 
     /// Notes how a request ended; true if its upstream was ejected for it.
-    pub fn ended(&mut self, ticket: &Ticket, outcome: Outcome, now: Time) -> bool {
+    pub fn finish(&mut self, ticket: &Ticket, outcome: Outcome, now: Time) -> bool {
         let upstream = self.upstreams.get_mut(&ticket.upstream);
-        let Some(upstream) = upstream.filter(|u| u.record.said.born == ticket.born) else {
+        let Some(upstream) = upstream.filter(|u| u.record.announcement.born == ticket.born) else {
             return false;
         };
         if outcome == Outcome::Full {
--- a/decision/fleet/src/budget.rs
+++ b/decision/fleet/src/budget.rs
@@ -28,13 +28,13 @@
 
 /// Repeats that one entry may still send, by service.
 #[derive(Debug)]
-pub struct RepeatBudget {
+pub struct RetryBudget {
     options: BudgetOptions,
     entries: usize,
     services: BTreeMap<ServiceName, RateLimit>,
 }
 
-impl RepeatBudget {
+impl RetryBudget {
     /// Starts with the budget of one among `entries` entries.
     pub fn new(options: BudgetOptions, entries: usize) -> Self {
         Self {
@@ -66,7 +66,7 @@
     pub fn left(&self, now: Time) -> impl Iterator<Item = (&ServiceName, u64)> {
         self.services
             .iter()
-            .map(move |(name, bucket)| (name, bucket.clone().held(now).max(0.0) as u64))
+            .map(move |(name, bucket)| (name, bucket.clone().available(now).max(0.0) as u64))
     }
 
     /// Takes the budget of one more send; false if there is none left.
--- a/decision/fleet/src/change.rs
+++ b/decision/fleet/src/change.rs
@@ -33,7 +33,7 @@
 
 /// What is new of one upstream.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct UpstreamNews {
+pub struct UpstreamEvent {
     /// Upstream.
     pub upstream: UpstreamName,
     /// Availability zone.
@@ -42,7 +42,7 @@
     pub change: UpstreamChange,
 }
 
-impl UpstreamNews {
+impl UpstreamEvent {
     /// Compares two records of an upstream; none if nothing of note is new.
     pub fn between(before: Option<&Record>, after: Option<&Record>) -> Option<Self> {
         let change = match (before, after) {
@@ -51,7 +51,7 @@
             (Some(_), None) => UpstreamChange::Gone,
             (Some(old), Some(new)) => change(old, new)?,
         };
-        let said = &after.or(before)?.said;
+        let said = &after.or(before)?.announcement;
         Some(Self {
             upstream: said.upstream.clone(),
             zone: said.zone.clone(),
@@ -61,7 +61,7 @@
 }
 
 fn change(old: &Record, new: &Record) -> Option<UpstreamChange> {
-    let (was, is) = (&old.said, &new.said);
+    let (was, is) = (&old.announcement, &new.announcement);
     if was.born != is.born {
         Some(UpstreamChange::Restarted)
     } else if (was.address, &was.service) != (is.address, &is.service) {
@@ -71,7 +71,7 @@
             Stage::Draining => UpstreamChange::Draining,
             Stage::Ready => UpstreamChange::Ready,
         })
-    } else if old.chilled != new.chilled {
+    } else if old.cold_index != new.cold_index {
         Some(UpstreamChange::Cold)
     } else {
         None
--- a/decision/fleet/src/declaration.rs
+++ b/decision/fleet/src/declaration.rs
@@ -50,7 +50,7 @@
     /// Longest time that a caller is kept waiting.
     pub timeout: Duration,
     /// Time within which an answer earns its full value.
-    pub target: Duration,
+    pub target_latency: Duration,
     /// Rank of its requests, 0 first.
     pub priority: u8,
     /// Services and their weights.
@@ -62,7 +62,7 @@
     /// Whether an interrupted stream may continue at another upstream.
     pub resumable: bool,
     /// Longest pause between events of a punctual stream.
-    pub pause: Option<Duration>,
+    pub max_gap: Option<Duration>,
 }
 
 impl Route {
@@ -93,7 +93,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ColdLimit {
     /// Time for which an upstream is cold after its start.
-    pub lasts: Duration,
+    pub duration: Duration,
     /// Requests a second.
     pub rate: f64,
 }
@@ -104,15 +104,15 @@
     /// Requests that run at once.
     pub slots: u32,
     /// Tokens that fit into the memory of one upstream.
-    pub memory: u64,
+    pub kv_capacity: u64,
     /// Time of one token step without requests, ms.
-    pub step: f64,
+    pub step_ms: f64,
     /// Time that each running request adds to a step, ms.
-    pub per_request: f64,
+    pub per_request_ms: f64,
     /// Token steps in one pass.
     pub stride: u32,
     /// Prompt tokens read a second.
-    pub reading: f64,
+    pub prefill_rate: f64,
     /// Layers of experts that are placed separately.
     pub layers: u16,
     /// Experts in each layer; 0 if experts are not placed.
@@ -131,9 +131,9 @@
     /// Largest body, bytes.
     pub body: usize,
     /// Longest time for a head.
-    pub head_time: Duration,
+    pub head_timeout: Duration,
     /// Time after which an idle connection may be closed.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
 }
 
 impl Default for Limits {
@@ -141,8 +141,8 @@
         Self {
             head: 16 << 10,
             body: 4 << 20,
-            head_time: Duration::from_secs(3),
-            idle: Duration::from_secs(15),
+            head_timeout: Duration::from_secs(3),
+            idle_timeout: Duration::from_secs(15),
         }
     }
 }
--- a/decision/fleet/src/entries.rs
+++ b/decision/fleet/src/entries.rs
@@ -55,7 +55,7 @@
     }
 
     /// Takes in how many entries a replica hears of, and how many the log has on record.
-    pub fn tell(&mut self, heard: usize, recorded: usize, now: Time) {
+    pub fn update(&mut self, heard: usize, recorded: usize, now: Time) {
         self.recorded = recorded;
         self.told.push(heard.max(recorded), now);
     }
--- a/decision/fleet/src/gate.rs
+++ b/decision/fleet/src/gate.rs
@@ -49,7 +49,7 @@
         }
         if self.tried.is_some() {
             // The one that tried was not refused in time.
-            self.accepted();
+            self.record_accepted();
         } else {
             self.tried = Some(now);
         }
@@ -57,14 +57,14 @@
     }
 
     /// Notes that an upstream refused a request.
-    pub fn refused(&mut self, now: Time) {
+    pub fn record_refused(&mut self, now: Time) {
         self.refused = self.refused.saturating_add(1);
         self.last = now;
         self.tried = None;
     }
 
     /// Notes that an upstream took a request.
-    pub fn accepted(&mut self) {
+    pub fn record_accepted(&mut self) {
         self.refused = 0;
         self.tried = None;
     }
--- a/decision/fleet/src/lib.rs
+++ b/decision/fleet/src/lib.rs
@@ -6,7 +6,7 @@
 //! the upstreams announced so far ([`FleetState`]). From it each entry derives
 //! its routes ([`RouteTable`]) and decides by itself where a request runs
 //! ([`Balancer`]) and whether it may be sent again ([`next_step`],
-//! [`RepeatBudget`]). [`repair`] keeps the members of the log complete.
+//! [`RetryBudget`]). [`repair`] keeps the members of the log complete.
 //!
 //! Nothing here performs input or output.
 
@@ -19,15 +19,18 @@
 mod members;
 mod rate;
 mod retry;
-mod returns;
+mod retry_after;
 mod route;
 mod state;
 mod stop;
 mod upstream;
 
-pub use balancer::{Ask, Balancer, BalancerOptions, Census, Choice, EntryPlace, Refusal, Ticket};
-pub use budget::{BudgetOptions, RepeatBudget};
-pub use change::{UpstreamChange, UpstreamNews};
+pub use balancer::{
+    Balancer, BalancerOptions, Choice, ChoiceRequest, EntryPosition, Refusal, Ticket,
+    UpstreamCounts,
+};
+pub use budget::{BudgetOptions, RetryBudget};
+pub use change::{UpstreamChange, UpstreamEvent};
 pub use declaration::{
     ColdLimit, Declaration, Engine, Fault, Limits, Route, RouteKind, Service, Workspace,
 };
@@ -36,7 +39,7 @@
 pub use members::{MemberView, Repair, RepairOptions, repair};
 pub use rate::RateLimit;
 pub use retry::{Ended, Limit, Next, Policy, Step, is_in_time, next_step};
-pub use returns::{Return, ReturnRow};
+pub use retry_after::{RetryAfterSchedule, RetryWindow};
 pub use route::{Match, Mismatch, RouteTable};
 pub use state::{Announcement, Command, Declared, FleetState, Record, Reply, Stage};
 pub use stop::{StopPhase, stop_phase};
--- a/decision/fleet/src/members.rs
+++ b/decision/fleet/src/members.rs
@@ -15,9 +15,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RepairOptions {
     /// Silence after which a voter may be removed.
-    pub silence: Duration,
+    pub max_silence: Duration,
     /// Fewest voters that must remain.
-    pub floor: usize,
+    pub min_voters: usize,
 }
 
 /// One member as the leader sees it.
@@ -30,7 +30,7 @@
     /// Whether it votes.
     pub voter: bool,
     /// Time since it was last heard of.
-    pub silent: Duration,
+    pub silent_for: Duration,
 }
 
 /// Change of the members.
@@ -55,14 +55,14 @@
             Some(_) => None,
         };
     }
-    let silent = |m: &&MemberView| m.silent >= options.silence;
+    let silent = |m: &&MemberView| m.silent_for >= options.max_silence;
     if let Some(learner) = members.iter().filter(|m| !m.voter).find(silent) {
         return Some(Repair::Remove(learner.name.clone()));
     }
     let voters = members.iter().filter(|m| m.voter);
-    if voters.clone().count() <= options.floor {
+    if voters.clone().count() <= options.min_voters {
         return None;
     }
-    let longest = voters.filter(silent).max_by_key(|m| m.silent)?;
+    let longest = voters.filter(silent).max_by_key(|m| m.silent_for)?;
     Some(Repair::Remove(longest.name.clone()))
 }
--- a/decision/fleet/src/rate.rs
+++ b/decision/fleet/src/rate.rs
@@ -31,7 +31,7 @@
     }
 
     /// Tokens held.
-    pub fn held(&mut self, now: Time) -> f64 {
+    pub fn available(&mut self, now: Time) -> f64 {
         self.fill(now);
         self.held
     }
--- a/decision/fleet/src/retry.rs
+++ b/decision/fleet/src/retry.rs
@@ -35,7 +35,7 @@
     /// Sends after which it may have run, this one included.
     pub ran: u32,
     /// Sends that were proved not to have run, this one included.
-    pub unrun: u32,
+    pub not_run: u32,
     /// Time at which the caller or the route gives up.
     pub deadline: Time,
 }
@@ -79,7 +79,7 @@
         return Some(Limit::Time);
     }
     match ended {
-        Ended::Unsent | Ended::Rejected => (policy.unrun >= MAX_UNRUN).then_some(Limit::Attempts),
+        Ended::Unsent | Ended::Rejected => (policy.not_run >= MAX_UNRUN).then_some(Limit::Attempts),
         Ended::Broken | Ended::Silent | Ended::Failed if !policy.repeatable => Some(Limit::Once),
         Ended::Broken | Ended::Silent | Ended::Failed => {
             (policy.ran >= policy.attempts).then_some(Limit::Attempts)
--- a/decision/fleet/src/returns.rs
+++ b/decision/fleet/src/retry_after.rs
@@ -17,36 +17,36 @@
 
 /// Refused request whose caller is to come back.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Return {
+pub struct RetryWindow {
     /// Time after which it may be served again, at the earliest.
-    pub least: Duration,
+    pub min_delay: Duration,
     /// Time after which coming back is of no use.
-    pub most: Duration,
+    pub max_delay: Duration,
     /// Requests a second that may come back.
     pub rate: f64,
 }
 
 /// Row of the callers that one entry has sent away from a service.
 #[derive(Clone, Copy, Debug)]
-pub struct ReturnRow {
+pub struct RetryAfterSchedule {
     next: Time,
 }
 
-impl ReturnRow {
+impl RetryAfterSchedule {
     /// Starts empty.
     pub fn new() -> Self {
         Self { next: Time::ZERO }
     }
 
     /// Gives a caller a place in the row; returns the time until then.
-    pub fn place<R>(&mut self, back: &Return, now: Time, rng: &mut R) -> Duration
+    pub fn assign<R>(&mut self, back: &RetryWindow, now: Time, rng: &mut R) -> Duration
     where
         R: Rng,
     {
-        let slot = self.next.max(now + back.least);
+        let slot = self.next.max(now + back.min_delay);
         let delay = slot.since(now);
-        if delay > back.most {
-            let most = back.most.max(back.least);
+        if delay > back.max_delay {
+            let most = back.max_delay.max(back.min_delay);
             return most.mul_f64(1.0 - rng.random_range(0.0..OVERFLOW_PART));
         }
         let pace = Duration::from_secs_f64(1.0 / back.rate.max(LEAST_RATE));
@@ -54,11 +54,11 @@
         delay
             + pace
                 .mul_f64(rng.random_range(0.0..1.0))
-                .min(back.most - delay)
+                .min(back.max_delay - delay)
     }
 }
 
-impl Default for ReturnRow {
+impl Default for RetryAfterSchedule {
     fn default() -> Self {
         Self::new()
     }
--- a/decision/fleet/src/state.rs
+++ b/decision/fleet/src/state.rs
@@ -56,11 +56,14 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
     /// Last announcement that changed anything.
-    pub said: Announcement,
+    #[serde(rename = "said")]
+    pub announcement: Announcement,
     /// Time of the last announcement in the log.
-    pub heard: Time,
+    #[serde(rename = "heard")]
+    pub received_at: Time,
     /// Position in the log at which it last became cold.
-    pub chilled: u64,
+    #[serde(rename = "chilled")]
+    pub cold_index: u64,
 }
 
 /// Configuration in force.
@@ -95,12 +98,13 @@
     Announce(Announcement),
     /// Removes an upstream that says that it leaves.
     Withdraw(UpstreamName),
-    /// Removes an upstream that has been silent since `heard`.
+    /// Removes an upstream that has been silent since `received_at`.
     Expire {
         /// Upstream.
         upstream: UpstreamName,
         /// Its last announcement in the log.
-        heard: Time,
+        #[serde(rename = "heard")]
+        received_at: Time,
     },
     /// Records the number of entries among which limits are divided.
     Entries(u32),
@@ -179,30 +183,34 @@
     }
 
     /// Whether an announcement would change what entries know.
-    pub fn is_news(&self, said: &Announcement) -> bool {
+    pub fn is_update(&self, said: &Announcement) -> bool {
         if self.is_stale(said) {
             return false;
         }
         self.upstreams
             .get(&said.upstream)
-            .is_none_or(|record| differs(&record.said, said))
+            .is_none_or(|record| differs(&record.announcement, said))
     }
 
     /// Whether something newer is known than the announcement.
     pub fn is_stale(&self, said: &Announcement) -> bool {
         if let Some(record) = self.upstreams.get(&said.upstream) {
-            let known = (record.said.born, record.said.sequence);
+            let known = (record.announcement.born, record.announcement.sequence);
             return (said.born, said.sequence) < known;
         }
         let left = self.departed.get(&said.upstream);
         left.is_some_and(|(born, _)| said.born <= *born)
-            || self.holder(said).is_some_and(|r| r.said.born > said.born)
+            || self
+                .holder(said)
+                .is_some_and(|r| r.announcement.born > said.born)
     }
 
     /// Another upstream that was announced at the same address.
     fn holder(&self, said: &Announcement) -> Option<&Record> {
         let mut records = self.upstreams.values();
-        records.find(|r| r.said.address == said.address && r.said.upstream != said.upstream)
+        records.find(|r| {
+            r.announcement.address == said.address && r.announcement.upstream != said.upstream
+        })
     }
 
     fn declare(&mut self, index: u64, version: u64, document: Arc<[u8]>) -> Reply {
@@ -238,22 +246,23 @@
         if self.is_stale(&said) {
             return Reply::NotNewer;
         }
-        let news = self.is_news(&said);
-        if let Some(replaced) = self.holder(&said).map(|r| r.said.upstream.clone()) {
+        let news = self.is_update(&said);
+        if let Some(replaced) = self.holder(&said).map(|r| r.announcement.upstream.clone()) {
             self.depart(index, &replaced);
         }
         let old = self.upstreams.get(&said.upstream);
         let chilled = match old {
-            Some(record) if !news || said.cold_ms == 0 => record.chilled,
+            Some(record) if !news || said.cold_ms == 0 => record.cold_index,
             _ => index,
         };
         let record = Record {
-            heard: self.now,
-            chilled,
-            said,
+            received_at: self.now,
+            cold_index: chilled,
+            announcement: said,
         };
-        self.departed.remove(&record.said.upstream);
-        self.upstreams.insert(record.said.upstream.clone(), record);
+        self.departed.remove(&record.announcement.upstream);
+        self.upstreams
+            .insert(record.announcement.upstream.clone(), record);
         if news {
             self.revision = index;
         }
@@ -270,7 +279,7 @@
 
     fn expire(&mut self, index: u64, upstream: &UpstreamName, heard: Time) -> Reply {
         match self.upstreams.get(upstream) {
-            Some(record) if record.heard == heard => self.depart(index, upstream),
+            Some(record) if record.received_at == heard => self.depart(index, upstream),
             _ => Reply::NotNewer,
         }
     }
@@ -281,7 +290,7 @@
         };
         self.revision = index;
         self.departed
-            .insert(upstream.clone(), (record.said.born, index));
+            .insert(upstream.clone(), (record.announcement.born, index));
         if self.departed.len() > MAX_DEPARTED {
             let oldest = self.departed.iter().min_by_key(|(_, (_, at))| *at);
             if let Some(name) = oldest.map(|(name, _)| name.clone()) {
@@ -309,7 +318,10 @@
             Ok(Command::Zone { zone, serving }) => self.set_zone(index.0, zone, serving),
             Ok(Command::Announce(said)) => self.announce(index.0, said),
             Ok(Command::Withdraw(upstream)) => self.depart(index.0, &upstream),
-            Ok(Command::Expire { upstream, heard }) => self.expire(index.0, &upstream, heard),
+            Ok(Command::Expire {
+                upstream,
+                received_at,
+            }) => self.expire(index.0, &upstream, received_at),
             Ok(Command::Entries(entries)) => self.record_entries(entries),
             Err(_) => Reply::Malformed,
         };
--- a/decision/fleet/src/stop.rs
+++ b/decision/fleet/src/stop.rs
@@ -20,7 +20,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StopPhase {
     /// Requests are taken; callers are told to go elsewhere.
-    Taking,
+    Accepting,
     /// New requests are refused; those under way go on.
     Refusing,
     /// The process may end.
@@ -33,7 +33,7 @@
         return StopPhase::Ended;
     }
     match (elapsed < TAKES.min(grace / 2), open) {
-        (true, _) => StopPhase::Taking,
+        (true, _) => StopPhase::Accepting,
         (false, 0) => StopPhase::Ended,
         (false, _) => StopPhase::Refusing,
     }
--- a/decision/fleet/src/upstream.rs
+++ b/decision/fleet/src/upstream.rs
@@ -89,7 +89,7 @@
 
     pub(crate) fn slots(&self) -> u32 {
         let told = self.told.map(|(load, _)| load.slots).filter(|s| *s > 0);
-        told.unwrap_or(self.record.said.slots).max(1)
+        told.unwrap_or(self.record.announcement.slots).max(1)
     }
 
     /// Requests that run or wait there, as far as this entry can tell.
@@ -156,7 +156,7 @@
     /// Whether it is cold and has had its share of requests for now.
     pub(crate) fn is_saturated(&mut self, now: Time) -> bool {
         let cold = self.cold.as_mut().filter(|c| now < c.until);
-        cold.is_some_and(|c| c.limit.held(now) < 1.0)
+        cold.is_some_and(|c| c.limit.available(now) < 1.0)
     }
 
     fn age_outcomes(&mut self, now: Time) {
--- a/decision/fleet/tests/it/balancer.rs
+++ b/decision/fleet/tests/it/balancer.rs
@@ -7,7 +7,8 @@
 use std::time::Duration;
 
 use pimentotide_fleet::{
-    Ask, Balancer, BalancerOptions, ColdLimit, Command, EntryCount, Load, Outcome, Refusal, Stage,
+    Balancer, BalancerOptions, ChoiceRequest, ColdLimit, Command, EntryCount, Load, Outcome,
+    Refusal, Stage,
 };
 use pimentotide_model::{Time, UpstreamName};
 use rand::SeedableRng;
@@ -48,7 +49,7 @@
     }
 
     fn learn(&mut self, now: u64) {
-        self.balancer.learn_state(&self.log.state, at(now));
+        self.balancer.update_from_state(&self.log.state, at(now));
     }
 
     fn choose(
@@ -56,10 +57,10 @@
         tried: &[UpstreamName],
         now: u64,
     ) -> Result<pimentotide_fleet::Choice, Refusal> {
-        let ask = Ask {
+        let ask = ChoiceRequest {
             service: &"advice".into(),
             tried,
-            patient: false,
+            may_queue: false,
         };
         self.balancer.choose(&ask, at(now), &mut self.rng)
     }
@@ -94,7 +95,7 @@
             waiting: 4,
             slots: 12,
         };
-        bench.balancer.tell(&busy.into(), load, at(0));
+        bench.balancer.report_load(&busy.into(), load, at(0));
     }
     let spread = bench.spread(20, 0);
     assert_eq!(spread.keys().collect::<Vec<_>>(), ["u4", "u5"]);
@@ -124,7 +125,7 @@
         let choice = bench.choose(&[], 0).unwrap();
         let bad = choice.ticket.upstream.as_str() == "u0";
         let outcome = if bad { Outcome::Failed } else { Outcome::Good };
-        ejected = bench.balancer.ended(&choice.ticket, outcome, at(0));
+        ejected = bench.balancer.finish(&choice.ticket, outcome, at(0));
     }
     let spread = bench.spread(30, 1);
     assert!(!spread.contains_key("u0"), "{spread:?}");
@@ -136,7 +137,9 @@
     let mut bench = Bench::new();
     for _ in 0..200 {
         let choice = bench.choose(&[], 0).unwrap();
-        bench.balancer.ended(&choice.ticket, Outcome::Failed, at(0));
+        bench
+            .balancer
+            .finish(&choice.ticket, Outcome::Failed, at(0));
     }
     assert!(bench.choose(&[], 1).is_ok());
     assert!(bench.spread(12, 1).len() >= 4);
@@ -149,7 +152,7 @@
         let choice = bench.choose(&[], 0).unwrap();
         let gone = choice.ticket.upstream.as_str() == "u1";
         let outcome = if gone { Outcome::Gone } else { Outcome::Good };
-        bench.balancer.ended(&choice.ticket, outcome, at(0));
+        bench.balancer.finish(&choice.ticket, outcome, at(0));
     }
     let before = bench.spread(30, 0);
     assert!(!before.contains_key("u1"), "{before:?}");
@@ -164,7 +167,7 @@
             waiting: 12,
             slots: 12,
         };
-        bench.balancer.tell(&upstream.into(), load, at(0));
+        bench.balancer.report_load(&upstream.into(), load, at(0));
     }
     assert_eq!(bench.choose(&[], 0).unwrap_err(), Refusal::Full);
 }
@@ -198,7 +201,7 @@
     let mut counts = vec![EntryCount::new(at(0)); 9];
     let sent = spare_a_cold_upstream(move |entry, ms| {
         let told = 1 + ms as usize / 200;
-        counts[entry].tell(told.min(9), 0, at(ms));
+        counts[entry].update(told.min(9), 0, at(ms));
         counts[entry].get(at(ms))
     });
     assert!(sent > 20, "{sent}");
@@ -214,7 +217,7 @@
     cold.cold_ms = 3_000;
     log.apply(&Command::Announce(cold));
     let limit = ColdLimit {
-        lasts: Duration::from_secs(3),
+        duration: Duration::from_secs(3),
         rate: 38.0,
     };
     let mut entries: Vec<Balancer> = (0..9)
@@ -223,9 +226,9 @@
                 zone: "a".into(),
                 queue: 1_000.0,
             });
-            balancer.set_colds([("advice".into(), limit)].into());
+            balancer.set_cold_limits([("advice".into(), limit)].into());
             balancer.set_entries(32, at(0));
-            balancer.learn_state(&log.state, at(0));
+            balancer.update_from_state(&log.state, at(0));
             balancer
         })
         .collect();
@@ -235,10 +238,10 @@
     for ms in 0..2_900 {
         for (index, entry) in entries.iter_mut().enumerate() {
             entry.set_entries(entries_at(index, ms), at(ms));
-            let ask = Ask {
+            let ask = ChoiceRequest {
                 service: &service,
                 tried: &[],
-                patient: false,
+                may_queue: false,
             };
             if entry.choose(&ask, at(ms), &mut rng).is_ok() {
                 sent.push(ms);
--- a/decision/fleet/tests/it/budget.rs
+++ b/decision/fleet/tests/it/budget.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use pimentotide_fleet::{BudgetOptions, RepeatBudget};
+use pimentotide_fleet::{BudgetOptions, RetryBudget};
 use pimentotide_model::{ServiceName, Time};
 use proptest::prelude::*;
 
@@ -21,8 +21,8 @@
         burst in 0..30_u64,
     ) {
         let service: ServiceName = "advice".into();
-        let mut budgets: Vec<RepeatBudget> =
-            (0..entries).map(|_| RepeatBudget::new(OPTIONS, entries)).collect();
+        let mut budgets: Vec<RetryBudget> =
+            (0..entries).map(|_| RetryBudget::new(OPTIONS, entries)).collect();
         let mut requests = Vec::new();
         let mut repeats = Vec::new();
         for second in 0..rates.len() as u64 {
@@ -57,7 +57,7 @@
 #[test]
 fn a_single_entry_may_use_the_allowance() {
     let service: ServiceName = "advice".into();
-    let mut budget = RepeatBudget::new(OPTIONS, 1);
+    let mut budget = RetryBudget::new(OPTIONS, 1);
     let spent = (0..200)
         .filter(|_| budget.spend(&service, Time::ZERO))
         .count();
@@ -68,7 +68,7 @@
 #[test]
 fn one_of_many_entries_may_still_repeat() {
     let service: ServiceName = "advice".into();
-    let mut budget = RepeatBudget::new(OPTIONS, 90);
+    let mut budget = RetryBudget::new(OPTIONS, 90);
     assert!(budget.spend(&service, Time::ZERO));
     assert!(!budget.spend(&service, Time::ZERO));
 }
--- a/decision/fleet/tests/it/change.rs
+++ b/decision/fleet/tests/it/change.rs
@@ -1,7 +1,7 @@
 //! What an entry tells of upstreams whose records change.
 
 use insta::assert_snapshot;
-use pimentotide_fleet::{Command, Record, Stage, UpstreamNews};
+use pimentotide_fleet::{Command, Record, Stage, UpstreamEvent};
 
 use crate::state::{Log, said};
 
@@ -44,7 +44,7 @@
             "cold again",
             Some(first.clone()),
             Some(Record {
-                chilled: first.chilled + 1,
+                cold_index: first.cold_index + 1,
                 ..first.clone()
             }),
         ),
@@ -53,7 +53,7 @@
     let told: Vec<String> = cases
         .iter()
         .map(|(name, before, after)| {
-            let news = UpstreamNews::between(before.as_ref(), after.as_ref());
+            let news = UpstreamEvent::between(before.as_ref(), after.as_ref());
             let change = news.map_or("nothing".to_owned(), |n| n.change.to_string());
             format!("{name}: {change}")
         })
--- a/decision/fleet/tests/it/declaration.rs
+++ b/decision/fleet/tests/it/declaration.rs
@@ -14,13 +14,13 @@
         prefix: prefix.into(),
         kind: RouteKind::Idempotent,
         timeout: Duration::from_secs(1),
-        target: Duration::from_millis(300),
+        target_latency: Duration::from_millis(300),
         priority: 2,
         split: vec![("advice".into(), 90), ("orders".into(), 10)],
         attempts: 2,
         public: false,
         resumable: false,
-        pause: None,
+        max_gap: None,
     }
 }
 
--- a/decision/fleet/tests/it/entries.rs
+++ b/decision/fleet/tests/it/entries.rs
@@ -18,18 +18,18 @@
 fn after_a_restart_of_everything_the_record_counts_at_once() {
     let mut count = EntryCount::new(at(0));
     assert_eq!(count.get(at(0)), 32, "nothing is known yet");
-    count.tell(0, 9, at(100));
+    count.update(0, 9, at(100));
     assert_eq!(count.get(at(100)), 9);
-    count.tell(3, 9, at(500));
+    count.update(3, 9, at(500));
     assert_eq!(count.get(at(500)), 9, "replicas have not heard of all yet");
-    count.tell(12, 9, at(900));
+    count.update(12, 9, at(900));
     assert_eq!(count.get(at(900)), 12, "more than are on record");
 }
 
 #[test]
 fn before_the_first_record_many_are_assumed() {
     let mut count = EntryCount::new(at(0));
-    count.tell(9, 0, at(1_000));
+    count.update(9, 0, at(1_000));
     assert_eq!(count.get(at(1_000)), 32);
     assert_eq!(count.get(at(7_000)), 9);
 }
--- a/decision/fleet/tests/it/gate.rs
+++ b/decision/fleet/tests/it/gate.rs
@@ -30,7 +30,7 @@
             if (ms + offset) % 40 != 0 || gate.admit(at(ms)) != Admission::Send {
                 left.push(offset);
             } else if ms < opens {
-                gate.refused(at(ms + 2));
+                gate.record_refused(at(ms + 2));
                 refusals += 1;
                 left.push(offset);
             } else {
@@ -62,7 +62,7 @@
     let mut gate = ServiceGate::default();
     assert_eq!(gate.admit(at(400)), Admission::Send);
     assert!(matches!(gate.admit(at(401)), Admission::Wait(_)));
-    gate.accepted();
+    gate.record_accepted();
     assert_eq!(gate.admit(at(402)), Admission::Send);
     assert_eq!(gate.admit(at(402)), Admission::Send);
 }
@@ -70,13 +70,13 @@
 #[test]
 fn refusals_between_successes_hold_nothing_back() {
     let mut gate = ServiceGate::default();
-    gate.accepted();
+    gate.record_accepted();
     for ms in 0..100 {
         assert_eq!(gate.admit(at(ms)), Admission::Send);
         if ms % 3 == 0 {
-            gate.accepted();
+            gate.record_accepted();
         } else {
-            gate.refused(at(ms));
+            gate.record_refused(at(ms));
         }
     }
 }
@@ -84,14 +84,14 @@
 #[test]
 fn one_request_at_a_time_tries_while_others_wait() {
     let mut gate = ServiceGate::default();
-    gate.accepted();
+    gate.record_accepted();
     for _ in 0..3 {
-        gate.refused(at(0));
+        gate.record_refused(at(0));
     }
     assert!(matches!(gate.admit(at(10)), Admission::Wait(_)));
     assert_eq!(gate.admit(at(130)), Admission::Send, "one tries");
     assert!(matches!(gate.admit(at(131)), Admission::Wait(_)));
-    gate.refused(at(132));
+    gate.record_refused(at(132));
     assert!(matches!(gate.admit(at(200)), Admission::Wait(_)));
     assert_eq!(gate.admit(at(260)), Admission::Send, "the next one tries");
     assert_eq!(gate.admit(at(400)), Admission::Send, "it was not refused");
--- a/decision/fleet/tests/it/main.rs
+++ b/decision/fleet/tests/it/main.rs
@@ -8,7 +8,7 @@
 mod gate;
 mod members;
 mod retry;
-mod returns;
+mod retry_after;
 mod spread;
 mod state;
 mod stop;
--- a/decision/fleet/tests/it/members.rs
+++ b/decision/fleet/tests/it/members.rs
@@ -7,8 +7,8 @@
 use pimentotide_model::InstanceName;
 
 const OPTIONS: RepairOptions = RepairOptions {
-    silence: Duration::from_secs(6),
-    floor: 3,
+    max_silence: Duration::from_secs(6),
+    min_voters: 3,
 };
 
 fn member(name: &str, disk: u128, silent: u64) -> MemberView {
@@ -16,7 +16,7 @@
         name: name.into(),
         disk: DiskId(disk),
         voter: true,
-        silent: Duration::from_secs(silent),
+        silent_for: Duration::from_secs(silent),
     }
 }
 
@@ -44,7 +44,7 @@
         repair(&four, None, &OPTIONS),
         Some(Repair::Remove("c".into()))
     );
-    four[2].silent = Duration::from_secs(3);
+    four[2].silent_for = Duration::from_secs(3);
     assert_eq!(repair(&four, None, &OPTIONS), None);
 }
 
--- a/decision/fleet/tests/it/retry.rs
+++ b/decision/fleet/tests/it/retry.rs
@@ -28,7 +28,7 @@
         repeatable,
         attempts: 2,
         ran,
-        unrun,
+        not_run: unrun,
         deadline: Time::ZERO + Duration::from_secs(1),
     }
 }
--- a/decision/fleet/tests/it/returns.rs
+++ b/decision/fleet/tests/it/retry_after.rs
@@ -5,14 +5,14 @@
 
 use std::time::Duration;
 
-use pimentotide_fleet::{Return, ReturnRow};
+use pimentotide_fleet::{RetryAfterSchedule, RetryWindow};
 use pimentotide_model::Time;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-const BACK: Return = Return {
-    least: Duration::from_millis(1_000),
-    most: Duration::from_millis(4_000),
+const BACK: RetryWindow = RetryWindow {
+    min_delay: Duration::from_millis(1_000),
+    max_delay: Duration::from_millis(4_000),
     rate: 5.0,
 };
 
@@ -22,11 +22,11 @@
 
 /// Times at which callers come back who are refused at these times, ms.
 fn returns(refused: &[u64]) -> Vec<u64> {
-    let mut row = ReturnRow::new();
+    let mut row = RetryAfterSchedule::new();
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     let delays = refused
         .iter()
-        .map(|ms| (*ms, row.place(&BACK, at(*ms), &mut rng)));
+        .map(|ms| (*ms, row.assign(&BACK, at(*ms), &mut rng)));
     delays
         .map(|(ms, delay)| ms + delay.as_millis() as u64)
         .collect()
@@ -76,15 +76,15 @@
 
 #[test]
 fn nobody_is_told_to_come_back_after_it_is_of_use() {
-    let mut row = ReturnRow::new();
+    let mut row = RetryAfterSchedule::new();
     let mut rng = ChaCha8Rng::seed_from_u64(2);
-    let short = Return {
-        least: Duration::from_millis(100),
-        most: Duration::from_millis(300),
+    let short = RetryWindow {
+        min_delay: Duration::from_millis(100),
+        max_delay: Duration::from_millis(300),
         rate: 1.0,
     };
     for _ in 0..20 {
-        let delay = row.place(&short, at(0), &mut rng);
-        assert!(delay <= short.most, "{delay:?}");
+        let delay = row.assign(&short, at(0), &mut rng);
+        assert!(delay <= short.max_delay, "{delay:?}");
     }
 }
--- a/decision/fleet/tests/it/spread.rs
+++ b/decision/fleet/tests/it/spread.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use pimentotide_fleet::{
-    Ask, Balancer, BalancerOptions, Command, EntryPlace, Load, Outcome, Ticket,
+    Balancer, BalancerOptions, ChoiceRequest, Command, EntryPosition, Load, Outcome, Ticket,
 };
 use pimentotide_model::Time;
 use rand::{RngExt, SeedableRng};
@@ -68,7 +68,7 @@
     let address = |number: usize| -> SocketAddr {
         let name = format!("u{number}");
         let records = log.state.upstreams();
-        records[name.as_str()].said.address
+        records[name.as_str()].announcement.address
     };
     let addresses: Vec<SocketAddr> = (0..engines).map(address).collect();
     let options = BalancerOptions {
@@ -79,13 +79,13 @@
         .map(|n| {
             let mut balancer = Balancer::new(options.clone());
             if placed {
-                balancer.set_place(EntryPlace {
-                    before: n,
-                    all: entries,
+                balancer.set_position(EntryPosition {
+                    index: n,
+                    count: entries,
                 });
             }
             balancer.set_entries(entries, at(0));
-            balancer.learn_state(&log.state, at(0));
+            balancer.update_from_state(&log.state, at(0));
             balancer
         })
         .collect();
@@ -95,17 +95,17 @@
     for ms in 1..30_000 {
         for engine in &mut fleet {
             for (entry, ticket) in engine.advance(ms) {
-                balancers[entry].ended(&ticket, Outcome::Good, at(ms));
+                balancers[entry].finish(&ticket, Outcome::Good, at(ms));
             }
         }
         if rng.random_range(0..1_000) >= rate {
             continue;
         }
         let entry = rng.random_range(0..entries);
-        let ask = Ask {
+        let ask = ChoiceRequest {
             service: &"advice".into(),
             tried: &[],
-            patient: false,
+            may_queue: false,
         };
         let Ok(choice) = balancers[entry].choose(&ask, at(ms), &mut rng) else {
             waited += 1;
@@ -125,7 +125,7 @@
             engine.running.push((ms + RUN_MS, entry, choice.ticket));
             // The head of the answer tells the load at once.
             let load = engine.load();
-            balancers[entry].tell(&format!("u{number}").as_str().into(), load, at(ms));
+            balancers[entry].report_load(&format!("u{number}").as_str().into(), load, at(ms));
         }
     }
     f64::from(waited) / f64::from(sent)
@@ -160,7 +160,7 @@
 
 #[test]
 fn the_place_of_an_entry_is_that_in_the_order_of_all() {
-    let place = EntryPlace::among(&5, &[9, 5, 1]);
-    assert_eq!(place, Some(EntryPlace { before: 1, all: 3 }));
-    assert_eq!(EntryPlace::among(&4, &[9, 5, 1]), None);
+    let place = EntryPosition::among(&5, &[9, 5, 1]);
+    assert_eq!(place, Some(EntryPosition { index: 1, count: 3 }));
+    assert_eq!(EntryPosition::among(&4, &[9, 5, 1]), None);
 }
--- a/decision/fleet/tests/it/state.rs
+++ b/decision/fleet/tests/it/state.rs
@@ -138,7 +138,7 @@
         .zip(cold)
         .map(|(sequence, cold_ms)| {
             let said = with_cold(sequence, cold_ms);
-            let news = log.state.is_news(&said);
+            let news = log.state.is_update(&said);
             if news {
                 log.apply(&Command::Announce(said));
             }
@@ -152,17 +152,17 @@
 fn only_an_upstream_that_stayed_silent_expires() {
     let mut log = Log::default();
     log.apply(&Command::Announce(said("u1", 80, 5, 1)));
-    let heard = log.state.upstreams()["u1"].heard;
+    let received_at = log.state.upstreams()["u1"].received_at;
     let expire = Command::Expire {
         upstream: "u1".into(),
-        heard,
+        received_at,
     };
     log.apply(&Command::Announce(said("u1", 80, 5, 2)));
     assert_eq!(log.apply(&expire), Reply::NotNewer);
-    let heard = log.state.upstreams()["u1"].heard;
+    let received_at = log.state.upstreams()["u1"].received_at;
     let expire = Command::Expire {
         upstream: "u1".into(),
-        heard,
+        received_at,
     };
     assert_eq!(log.apply(&expire), Reply::Done);
 }
@@ -218,7 +218,7 @@
             let held = log.state.declared().map_or(0, |d| d.version);
             prop_assert!(held >= version);
             version = held;
-            let mut addresses: Vec<_> = log.state.upstreams().values().map(|r| r.said.address).collect();
+            let mut addresses: Vec<_> = log.state.upstreams().values().map(|r| r.announcement.address).collect();
             let count = addresses.len();
             addresses.sort_unstable();
             addresses.dedup();
--- a/decision/fleet/tests/it/stop.rs
+++ b/decision/fleet/tests/it/stop.rs
@@ -15,11 +15,11 @@
 #[test]
 fn nothing_is_taken_later_than_three_seconds_after_the_signal() {
     for open in [0, 5] {
-        assert_eq!(at(0, open), StopPhase::Taking);
+        assert_eq!(at(0, open), StopPhase::Accepting);
         assert!(
             (3_000..9_000)
                 .step_by(50)
-                .all(|ms| at(ms, open) != StopPhase::Taking)
+                .all(|ms| at(ms, open) != StopPhase::Accepting)
         );
     }
 }
@@ -37,7 +37,7 @@
 
 #[test]
 fn an_idle_entry_ends_once_it_takes_nothing_more() {
-    assert_eq!(at(2_000, 0), StopPhase::Taking);
+    assert_eq!(at(2_000, 0), StopPhase::Accepting);
     assert_eq!(at(3_000, 0), StopPhase::Ended);
 }
 
