--- a/decision/fleet/tests/it/balancer.rs
+++ b/decision/fleet/tests/it/balancer.rs
@@ -1,7 +1,7 @@
 //! Choice of an upstream.
 //!
-//! Patterns: a zone is taken out, upstreams drain, fail, refuse, restart cold, or
-//! leave their address to another one.
+//! Covers closed zones and upstreams that drain, fail, refuse requests, restart
+//! cold or are replaced at their address by another upstream.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -14,24 +14,24 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-use crate::state::{Log, said};
+use crate::state::{Log, announcement};
 
 fn at(ms: u64) -> Time {
     Time::ZERO + Duration::from_millis(ms)
 }
 
-struct Bench {
+struct Fixture {
     log: Log,
     balancer: Balancer,
     rng: ChaCha8Rng,
 }
 
-impl Bench {
+impl Fixture {
     /// Three upstreams in zone a and three in zone b.
     fn new() -> Self {
         let mut log = Log::default();
         for (index, zone) in ["a", "a", "a", "b", "b", "b"].into_iter().enumerate() {
-            let mut announcement = said(&format!("u{index}"), 80 + index as u16, 1, 1);
+            let mut announcement = announcement(&format!("u{index}"), 80 + index as u16, 1, 1);
             announcement.zone = zone.into();
             log.apply(&Command::Announce(announcement));
         }
@@ -39,16 +39,16 @@
             zone: "a".into(),
             queue: 1.0,
         };
-        let mut bench = Self {
+        let mut fixture = Self {
             log,
             balancer: Balancer::new(options),
             rng: ChaCha8Rng::seed_from_u64(1),
         };
-        bench.learn(0);
-        bench
+        fixture.update(0);
+        fixture
     }
 
-    fn learn(&mut self, now: u64) {
+    fn update(&mut self, now: u64) {
         self.balancer.update_from_state(&self.log.state, at(now));
     }
 
@@ -57,15 +57,15 @@
         tried: &[UpstreamName],
         now: u64,
     ) -> Result<pimentotide_fleet::Choice, Refusal> {
-        let ask = ChoiceRequest {
+        let request = ChoiceRequest {
             service: &"advice".into(),
             tried,
             may_queue: false,
         };
-        self.balancer.choose(&ask, at(now), &mut self.rng)
+        self.balancer.choose(&request, at(now), &mut self.rng)
     }
 
-    /// Requests by upstream after `count` choices that all stay open.
+    /// Returns the requests per upstream after `count` choices that all stay in flight.
     fn spread(&mut self, count: usize, now: u64) -> BTreeMap<String, usize> {
         let mut spread = BTreeMap::new();
         for _ in 0..count {
@@ -79,141 +79,146 @@
 }
 
 #[test]
-fn open_requests_are_spread_evenly() {
-    let mut bench = Bench::new();
-    let spread = bench.spread(60, 0);
+fn in_flight_requests_are_spread_evenly() {
+    let mut fixture = Fixture::new();
+    let spread = fixture.spread(60, 0);
     assert_eq!(spread.len(), 6);
     assert!(spread.values().all(|n| (9..=11).contains(n)), "{spread:?}");
 }
 
 #[test]
-fn told_load_counts_until_the_next_report() {
-    let mut bench = Bench::new();
+fn reported_load_counts_until_the_next_report() {
+    let mut fixture = Fixture::new();
     for busy in ["u0", "u1", "u2", "u3"] {
         let load = Load {
             running: 12,
             waiting: 4,
             slots: 12,
         };
-        bench.balancer.report_load(&busy.into(), load, at(0));
+        fixture.balancer.report_load(&busy.into(), load, at(0));
     }
-    let spread = bench.spread(20, 0);
+    let spread = fixture.spread(20, 0);
     assert_eq!(spread.keys().collect::<Vec<_>>(), ["u4", "u5"]);
 }
 
 #[test]
-fn a_closed_zone_and_draining_upstreams_get_nothing() {
-    let mut bench = Bench::new();
-    bench.log.apply(&Command::Zone {
+fn closed_zone_and_draining_upstreams_get_no_requests() {
+    let mut fixture = Fixture::new();
+    fixture.log.apply(&Command::Zone {
         zone: "a".into(),
         serving: false,
     });
-    let mut leaving = said("u3", 83, 1, 2);
+    let mut leaving = announcement("u3", 83, 1, 2);
     leaving.zone = "b".into();
     leaving.stage = Stage::Draining;
-    bench.log.apply(&Command::Announce(leaving));
-    bench.learn(1);
-    let spread = bench.spread(10, 1);
+    fixture.log.apply(&Command::Announce(leaving));
+    fixture.update(1);
+    let spread = fixture.spread(10, 1);
     assert_eq!(spread.keys().collect::<Vec<_>>(), ["u4", "u5"]);
 }
 
 #[test]
-fn an_upstream_that_fails_is_ejected_and_tried_again() {
-    let mut bench = Bench::new();
+fn failing_upstream_is_ejected_and_later_retried() {
+    let mut fixture = Fixture::new();
     let mut ejected = false;
     while !ejected {
-        let choice = bench.choose(&[], 0).unwrap();
+        let choice = fixture.choose(&[], 0).unwrap();
         let bad = choice.ticket.upstream.as_str() == "u0";
         let outcome = if bad { Outcome::Failed } else { Outcome::Good };
-        ejected = bench.balancer.finish(&choice.ticket, outcome, at(0));
+        ejected = fixture.balancer.finish(&choice.ticket, outcome, at(0));
     }
-    let spread = bench.spread(30, 1);
+    let spread = fixture.spread(30, 1);
     assert!(!spread.contains_key("u0"), "{spread:?}");
-    assert!(bench.spread(30, 10_000).contains_key("u0"));
+    assert!(fixture.spread(30, 10_000).contains_key("u0"));
 }
 
 #[test]
-fn alarms_about_most_upstreams_eject_none() {
-    let mut bench = Bench::new();
+fn failures_of_most_upstreams_eject_none() {
+    let mut fixture = Fixture::new();
     for _ in 0..200 {
-        let choice = bench.choose(&[], 0).unwrap();
-        bench
+        let choice = fixture.choose(&[], 0).unwrap();
+        fixture
             .balancer
             .finish(&choice.ticket, Outcome::Failed, at(0));
     }
-    assert!(bench.choose(&[], 1).is_ok());
-    assert!(bench.spread(12, 1).len() >= 4);
+    assert!(fixture.choose(&[], 1).is_ok());
+    assert!(fixture.spread(12, 1).len() >= 4);
 }
 
 #[test]
-fn another_upstream_at_the_address_is_not_asked_again() {
-    let mut bench = Bench::new();
+fn upstream_replaced_at_its_address_is_avoided() {
+    let mut fixture = Fixture::new();
     for _ in 0..40 {
-        let choice = bench.choose(&[], 0).unwrap();
-        let gone = choice.ticket.upstream.as_str() == "u1";
-        let outcome = if gone { Outcome::Gone } else { Outcome::Good };
-        bench.balancer.finish(&choice.ticket, outcome, at(0));
+        let choice = fixture.choose(&[], 0).unwrap();
+        let replaced = choice.ticket.upstream.as_str() == "u1";
+        let outcome = if replaced {
+            Outcome::Gone
+        } else {
+            Outcome::Good
+        };
+        fixture.balancer.finish(&choice.ticket, outcome, at(0));
     }
-    let before = bench.spread(30, 0);
+    let before = fixture.spread(30, 0);
     assert!(!before.contains_key("u1"), "{before:?}");
 }
 
 #[test]
-fn full_upstreams_are_refused_at_once() {
-    let mut bench = Bench::new();
+fn request_is_refused_when_all_upstreams_are_full() {
+    let mut fixture = Fixture::new();
     for upstream in ["u0", "u1", "u2", "u3", "u4", "u5"] {
         let load = Load {
             running: 12,
             waiting: 12,
             slots: 12,
         };
-        bench.balancer.report_load(&upstream.into(), load, at(0));
+        fixture.balancer.report_load(&upstream.into(), load, at(0));
     }
-    assert_eq!(bench.choose(&[], 0).unwrap_err(), Refusal::Full);
+    assert_eq!(fixture.choose(&[], 0).unwrap_err(), Refusal::Full);
 }
 
 #[test]
-fn upstreams_tried_before_are_chosen_only_if_there_is_no_other() {
-    let mut bench = Bench::new();
+fn tried_upstreams_are_chosen_only_as_a_last_resort() {
+    let mut fixture = Fixture::new();
     let tried: Vec<UpstreamName> = ["u0", "u1", "u2", "u3", "u4"]
         .map(UpstreamName::from)
         .to_vec();
     assert_eq!(
-        bench.choose(&tried, 0).unwrap().ticket.upstream.as_str(),
+        fixture.choose(&tried, 0).unwrap().ticket.upstream.as_str(),
         "u5"
     );
     let all: Vec<UpstreamName> = (0..6).map(|i| format!("u{i}").into()).collect();
-    assert_eq!(bench.choose(&all, 0).unwrap().candidates, 6);
+    assert_eq!(fixture.choose(&all, 0).unwrap().candidates, 6);
 }
 
-/// Nine entries together stay within what a cold upstream bears in every second.
+/// Nine entries together stay within the rate limit of a cold upstream in every second.
 #[test]
-fn entries_together_spare_a_cold_upstream() {
-    let sent = spare_a_cold_upstream(|_, _| 9);
+fn entries_together_respect_the_cold_limit() {
+    let sent = send_to_a_cold_upstream(|_, _| 9);
     assert!(sent > 60, "{sent}");
 }
 
-/// After all processes were killed, replicas tell too few entries for a while.
+/// After a restart of all processes, replicas report too few entries for a while.
 ///
-/// Seen on a day of a hunt: one cold upstream was known, and got 65 requests in a second.
+/// Guards against exceeding the cold limit meanwhile: with one cold upstream announced, it got 65
+/// requests in a second.
 #[test]
-fn a_number_of_entries_that_is_told_too_low_at_first_does_no_harm() {
+fn entry_count_that_is_too_low_at_first_keeps_the_cold_limit() {
     let mut counts = vec![EntryCount::new(at(0)); 9];
-    let sent = spare_a_cold_upstream(move |entry, ms| {
-        let told = 1 + ms as usize / 200;
-        counts[entry].update(told.min(9), 0, at(ms));
+    let sent = send_to_a_cold_upstream(move |entry, ms| {
+        let reported = 1 + ms as usize / 200;
+        counts[entry].update(reported.min(9), 0, at(ms));
         counts[entry].get(at(ms))
     });
     assert!(sent > 20, "{sent}");
 }
 
-/// Plays nine entries that all want to send to one cold upstream; returns the requests sent.
-fn spare_a_cold_upstream<F>(mut entries_at: F) -> usize
+/// Simulates nine entries that all send to one cold upstream; returns the requests sent.
+fn send_to_a_cold_upstream<F>(mut entries_at: F) -> usize
 where
     F: FnMut(usize, u64) -> usize,
 {
     let mut log = Log::default();
-    let mut cold = said("u0", 80, 1, 1);
+    let mut cold = announcement("u0", 80, 1, 1);
     cold.cold_ms = 3_000;
     log.apply(&Command::Announce(cold));
     let limit = ColdLimit {
@@ -238,12 +243,12 @@
     for ms in 0..2_900 {
         for (index, entry) in entries.iter_mut().enumerate() {
             entry.set_entries(entries_at(index, ms), at(ms));
-            let ask = ChoiceRequest {
+            let request = ChoiceRequest {
                 service: &service,
                 tried: &[],
                 may_queue: false,
             };
-            if entry.choose(&ask, at(ms), &mut rng).is_ok() {
+            if entry.choose(&request, at(ms), &mut rng).is_ok() {
                 sent.push(ms);
             }
         }
--- a/decision/fleet/tests/it/budget.rs
+++ b/decision/fleet/tests/it/budget.rs
@@ -1,4 +1,4 @@
-//! The budget of repeats holds over any window, summed over all entries.
+//! The retry budget holds in any window, summed over all entries.
 
 use std::time::Duration;
 
@@ -13,9 +13,9 @@
 };
 
 proptest! {
-    /// Every entry wants to repeat far more than it may, under any load.
+    /// Every entry attempts far more retries than its budget allows, under any load.
     #[test]
-    fn no_window_holds_more_repeats_than_allowed(
+    fn no_window_exceeds_the_retry_budget(
         entries in 1..12_usize,
         rates in proptest::collection::vec(0..40_u64, 30),
         burst in 0..30_u64,
@@ -24,7 +24,7 @@
         let mut budgets: Vec<RetryBudget> =
             (0..entries).map(|_| RetryBudget::new(OPTIONS, entries)).collect();
         let mut requests = Vec::new();
-        let mut repeats = Vec::new();
+        let mut retries = Vec::new();
         for second in 0..rates.len() as u64 {
             let rate = if second == burst { 300 } else { rates[second as usize] };
             for part in 0..10_u64 {
@@ -36,7 +36,7 @@
                     }
                     for _ in 0..40 {
                         if budget.spend(&service, now) {
-                            repeats.push(now);
+                            retries.push(now);
                         }
                     }
                 }
@@ -49,13 +49,13 @@
             let before = Time::ZERO + Duration::from_secs(start.saturating_sub(10));
             let earlier = requests.iter().filter(|t| **t >= before && **t < from).count() as f64;
             let most = within(&requests).max(earlier);
-            prop_assert!(within(&repeats) <= OPTIONS.ratio * most + OPTIONS.allowance);
+            prop_assert!(within(&retries) <= OPTIONS.ratio * most + OPTIONS.allowance);
         }
     }
 }
 
 #[test]
-fn a_single_entry_may_use_the_allowance() {
+fn single_entry_may_use_the_whole_burst() {
     let service: ServiceName = "advice".into();
     let mut budget = RetryBudget::new(OPTIONS, 1);
     let spent = (0..200)
@@ -64,9 +64,10 @@
     assert_eq!(spent, 39);
 }
 
-/// Seen by the test of a stream that is cut, just after a start: no repeat was ever allowed.
+/// Guards against a share of the budget below one retry, which never allowed any: a stream that
+/// was cut just after a start was not retried.
 #[test]
-fn one_of_many_entries_may_still_repeat() {
+fn one_of_many_entries_may_still_retry() {
     let service: ServiceName = "advice".into();
     let mut budget = RetryBudget::new(OPTIONS, 90);
     assert!(budget.spend(&service, Time::ZERO));
--- a/decision/fleet/tests/it/change.rs
+++ b/decision/fleet/tests/it/change.rs
@@ -1,13 +1,13 @@
-//! What an entry tells of upstreams whose records change.
+//! Changes reported for an upstream whose record changes.
 
 use insta::assert_snapshot;
 use pimentotide_fleet::{Command, Record, Stage, UpstreamEvent};
 
-use crate::state::{Log, said};
+use crate::state::{Log, announcement};
 
 fn record(change: impl FnOnce(&mut pimentotide_fleet::Announcement)) -> Record {
     let mut log = Log::default();
-    let mut announcement = said("u1", 80, 1, 1);
+    let mut announcement = announcement("u1", 80, 1, 1);
     change(&mut announcement);
     log.apply(&Command::Announce(announcement));
     let mut records = log.state.upstreams().values().cloned();
@@ -15,13 +15,13 @@
 }
 
 #[test]
-fn every_change_has_its_name() {
+fn every_change_is_named() {
     let first = record(|_| {});
     let cases = [
         ("first seen", None, Some(first.clone())),
         ("the same again", Some(first.clone()), Some(first.clone())),
         (
-            "started anew",
+            "restarted",
             Some(first.clone()),
             Some(record(|a| a.born = 9)),
         ),
@@ -50,18 +50,18 @@
         ),
         ("left", Some(first), None),
     ];
-    let told: Vec<String> = cases
+    let lines: Vec<String> = cases
         .iter()
         .map(|(name, before, after)| {
-            let news = UpstreamEvent::between(before.as_ref(), after.as_ref());
-            let change = news.map_or("nothing".to_owned(), |n| n.change.to_string());
+            let event = UpstreamEvent::between(before.as_ref(), after.as_ref());
+            let change = event.map_or("nothing".to_owned(), |e| e.change.to_string());
             format!("{name}: {change}")
         })
         .collect();
-    assert_snapshot!(told.join("\n"), @r"
+    assert_snapshot!(lines.join("\n"), @r"
     first seen: new
     the same again: nothing
-    started anew: restarted
+    restarted: restarted
     another address: moved
     draining: draining
     back from draining: ready
--- a/decision/fleet/tests/it/declaration.rs
+++ b/decision/fleet/tests/it/declaration.rs
@@ -1,4 +1,4 @@
-//! Configurations: what makes them invalid, and which route a request takes.
+//! Validation of configurations, and route lookup.
 
 use std::time::Duration;
 
@@ -59,25 +59,25 @@
 }
 
 #[test]
-fn all_faults_are_told_at_once() {
-    let mut wrong = declaration();
-    wrong.routes[0].split = vec![("advice".into(), 0)];
-    wrong.routes[1].split = vec![("unknown".into(), 1)];
-    wrong.routes[1].timeout = Duration::ZERO;
+fn all_faults_are_reported_together() {
+    let mut invalid = declaration();
+    invalid.routes[0].split = vec![("advice".into(), 0)];
+    invalid.routes[1].split = vec![("unknown".into(), 1)];
+    invalid.routes[1].timeout = Duration::ZERO;
     let mut same = route("again", "h.example", "/a/");
     same.prefix = "/a/".into();
-    wrong.routes.push(same);
-    wrong.routes.push(route("open", "h.example", "/c"));
-    if let Some(workspaces) = &mut wrong.workspaces {
+    invalid.routes.push(same);
+    invalid.routes.push(route("open", "h.example", "/c"));
+    if let Some(workspaces) = &mut invalid.workspaces {
         workspaces[1].keys.push("k1".into());
     }
-    let faults: Vec<String> = wrong.faults().iter().map(ToString::to_string).collect();
+    let faults: Vec<String> = invalid.faults().iter().map(ToString::to_string).collect();
     assert_snapshot!(faults.join("\n"));
     assert!(declaration().faults().is_empty());
 }
 
 #[test]
-fn the_longest_prefix_of_the_host_wins() {
+fn longest_prefix_of_the_host_matches() {
     let table = RouteTable::new(declaration());
     let find = |host, path, key| match table.find(host, path, key) {
         Ok(found) => format!(
@@ -86,7 +86,7 @@
         ),
         Err(mismatch) => format!("{mismatch:?}"),
     };
-    let told = [
+    let matches = [
         find("h.example", "/a/x", Some("k1")),
         find("H.Example:8080", "/a/b/x", Some("k3")),
         find("h.example", "/a/bx", Some("k3")),
@@ -96,7 +96,7 @@
         find("h.example", "/a/x", Some("k9")),
         find("h.example", "/a/x", None),
     ];
-    assert_snapshot!(told.join("\n"));
+    assert_snapshot!(matches.join("\n"));
 }
 
 #[test]
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn services_are_drawn_by_weight() {
+fn services_are_chosen_by_weight() {
     let table = RouteTable::new(declaration());
     let found = table.find("h.example", "/a/x", Some("k1")).unwrap();
     let count = |name: &str| {
--- a/decision/fleet/tests/it/entries.rs
+++ b/decision/fleet/tests/it/entries.rs
@@ -1,7 +1,7 @@
-//! Number of entries among which limits are divided.
+//! Number of entries by which limits are divided.
 //!
-//! Pattern: everything is killed at once and starts anew, and replicas hear of
-//! the entries one by one.
+//! Guards against a count that is too low after all processes were killed and
+//! restarted, while replicas discover the entries one by one.
 
 use std::time::Duration;
 
@@ -15,19 +15,23 @@
 }
 
 #[test]
-fn after_a_restart_of_everything_the_record_counts_at_once() {
+fn recorded_number_is_used_right_after_a_restart_of_all_processes() {
     let mut count = EntryCount::new(at(0));
-    assert_eq!(count.get(at(0)), 32, "nothing is known yet");
+    assert_eq!(count.get(at(0)), 32, "nothing is reported yet");
     count.update(0, 9, at(100));
     assert_eq!(count.get(at(100)), 9);
     count.update(3, 9, at(500));
-    assert_eq!(count.get(at(500)), 9, "replicas have not heard of all yet");
+    assert_eq!(
+        count.get(at(500)),
+        9,
+        "replicas have not discovered all entries yet"
+    );
     count.update(12, 9, at(900));
-    assert_eq!(count.get(at(900)), 12, "more than are on record");
+    assert_eq!(count.get(at(900)), 12, "more than are recorded");
 }
 
 #[test]
-fn before_the_first_record_many_are_assumed() {
+fn large_number_is_assumed_before_the_first_record() {
     let mut count = EntryCount::new(at(0));
     count.update(9, 0, at(1_000));
     assert_eq!(count.get(at(1_000)), 32);
@@ -35,26 +39,30 @@
 }
 
 #[test]
-fn the_leader_records_more_at_once_and_fewer_after_a_while() {
+fn leader_records_a_higher_number_at_once_and_a_lower_one_later() {
     let mut record = EntryRecord::new(at(0));
-    assert_eq!(record.due(9, 0, at(1_000)), None, "not all may be heard of");
+    assert_eq!(
+        record.due(9, 0, at(1_000)),
+        None,
+        "some entries may not be discovered yet"
+    );
     assert_eq!(record.due(9, 0, at(6_000)), Some(9));
     assert_eq!(record.due(12, 9, at(7_000)), Some(12));
     assert_eq!(
         record.due(10, 12, at(8_000)),
         None,
-        "some may only be silent"
+        "some may be unreachable for a short time"
     );
     assert_eq!(record.due(10, 12, at(29_000)), Some(10));
     assert_eq!(
         record.due(0, 10, at(60_000)),
         None,
-        "it may be cut off itself"
+        "the leader itself may be partitioned"
     );
 }
 
 #[test]
-fn a_leader_that_has_just_started_keeps_the_record() {
+fn new_leader_keeps_the_recorded_number() {
     let mut record = EntryRecord::new(at(0));
     for ms in (500..19_000).step_by(500) {
         assert_eq!(record.due(2, 9, at(ms)), None);
@@ -62,7 +70,7 @@
 }
 
 #[test]
-fn the_log_keeps_the_number() {
+fn number_of_entries_is_stored_in_the_log() {
     let mut log = Log::default();
     assert_eq!(log.state.entries(), 0);
     log.apply(&Command::Entries(9));
--- a/decision/fleet/tests/it/gate.rs
+++ b/decision/fleet/tests/it/gate.rs
@@ -1,7 +1,7 @@
-//! Requests held back while all upstreams refuse them.
+//! Requests delayed while all upstreams refuse them.
 //!
-//! Pattern: power comes back after an outage. Callers return before the group of
-//! engines is formed, and each has no other try.
+//! Guards against failed requests after a power outage: callers send them before
+//! the group of engines has formed, and do not retry.
 
 use std::time::Duration;
 
@@ -12,16 +12,16 @@
     Time::ZERO + Duration::from_millis(ms)
 }
 
-/// Time at which a process has its first configuration, ms.
+/// Time at which the process receives its first configuration, ms.
 const START: u64 = 400;
 
-/// Requests that each look every 40 ms whether they may be sent, until `ends`, ms.
+/// Simulates `requests` requests that each poll the gate every 40 ms until `ends`, ms.
 ///
-/// Upstreams refuse within 2 ms until `opens`. Returns the refusals, and the time
-/// at which each request was taken.
-fn play(requests: u64, opens: u64, ends: u64) -> (u32, Vec<u64>) {
+/// Upstreams refuse within 2 ms until `opens`. Returns the number of refusals and the
+/// time at which each request was accepted.
+fn simulate(requests: u64, opens: u64, ends: u64) -> (u32, Vec<u64>) {
     let mut gate = ServiceGate::default();
-    let (mut refusals, mut taken) = (0, Vec::new());
+    let (mut refusals, mut accepted) = (0, Vec::new());
     let mut waiting: Vec<u64> = (0..requests).collect();
     for ms in START..START + ends {
         let opens = START + opens;
@@ -34,31 +34,31 @@
                 refusals += 1;
                 left.push(offset);
             } else {
-                taken.push(ms);
+                accepted.push(ms);
             }
         }
         waiting = left;
     }
-    (refusals, taken)
+    (refusals, accepted)
 }
 
 #[test]
-fn callers_that_come_before_the_group_is_formed_are_served_once_it_is() {
-    let (refusals, taken) = play(60, 600, 1_200);
-    assert_eq!(taken.len(), 60);
+fn requests_sent_before_the_group_forms_are_served_afterwards() {
+    let (refusals, accepted) = simulate(60, 600, 1_200);
+    assert_eq!(accepted.len(), 60);
     assert!(refusals <= 6, "{refusals}");
-    assert!(taken.iter().all(|ms| *ms <= START + 900), "{taken:?}");
+    assert!(accepted.iter().all(|ms| *ms <= START + 900), "{accepted:?}");
 }
 
 #[test]
-fn a_service_that_takes_requests_holds_none_back_for_long() {
-    let (refusals, taken) = play(60, 0, 300);
-    assert_eq!((refusals, taken.len()), (0, 60));
-    assert!(taken.iter().all(|ms| *ms <= START + 170), "{taken:?}");
+fn available_service_delays_requests_only_briefly() {
+    let (refusals, accepted) = simulate(60, 0, 300);
+    assert_eq!((refusals, accepted.len()), (0, 60));
+    assert!(accepted.iter().all(|ms| *ms <= START + 170), "{accepted:?}");
 }
 
 #[test]
-fn the_first_answer_lets_all_others_go() {
+fn first_accepted_request_opens_the_gate() {
     let mut gate = ServiceGate::default();
     assert_eq!(gate.admit(at(400)), Admission::Send);
     assert!(matches!(gate.admit(at(401)), Admission::Wait(_)));
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn refusals_between_successes_hold_nothing_back() {
+fn refusals_between_successes_delay_nothing() {
     let mut gate = ServiceGate::default();
     gate.record_accepted();
     for ms in 0..100 {
@@ -82,18 +82,22 @@
 }
 
 #[test]
-fn one_request_at_a_time_tries_while_others_wait() {
+fn one_probe_at_a_time_is_sent_while_others_wait() {
     let mut gate = ServiceGate::default();
     gate.record_accepted();
     for _ in 0..3 {
         gate.record_refused(at(0));
     }
     assert!(matches!(gate.admit(at(10)), Admission::Wait(_)));
-    assert_eq!(gate.admit(at(130)), Admission::Send, "one tries");
+    assert_eq!(gate.admit(at(130)), Admission::Send, "probe");
     assert!(matches!(gate.admit(at(131)), Admission::Wait(_)));
     gate.record_refused(at(132));
     assert!(matches!(gate.admit(at(200)), Admission::Wait(_)));
-    assert_eq!(gate.admit(at(260)), Admission::Send, "the next one tries");
-    assert_eq!(gate.admit(at(400)), Admission::Send, "it was not refused");
-    assert_eq!(gate.admit(at(400)), Admission::Send, "so nobody waits");
+    assert_eq!(gate.admit(at(260)), Admission::Send, "next probe");
+    assert_eq!(
+        gate.admit(at(400)),
+        Admission::Send,
+        "the probe was not refused"
+    );
+    assert_eq!(gate.admit(at(400)), Admission::Send, "the gate is open");
 }
--- a/decision/fleet/tests/it/main.rs
+++ b/decision/fleet/tests/it/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the fleet's decisions.
+//! Tests of the decisions on routing, retries and membership.
 
 mod balancer;
 mod budget;
--- a/decision/fleet/tests/it/members.rs
+++ b/decision/fleet/tests/it/members.rs
@@ -1,4 +1,4 @@
-//! Members of the log are repaired without an operator.
+//! Automatic repair of the membership of the log.
 
 use std::time::Duration;
 
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn a_lost_disk_is_removed_before_it_joins_again() {
+fn lost_disk_is_removed_before_the_replica_rejoins() {
     let members = [member("a", 1, 0), member("b", 2, 0), member("c", 3, 9)];
     let name = InstanceName::from("c");
     let joining = |disk| repair(&members, Some((&name, DiskId(disk))), &OPTIONS);
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn a_silent_voter_stays_until_it_is_replaced() {
+fn unreachable_voter_stays_until_it_is_replaced() {
     let three = [member("a", 1, 0), member("b", 2, 0), member("c", 3, 60)];
     assert_eq!(repair(&three, None, &OPTIONS), None);
     let mut four = three.to_vec();
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn one_member_is_removed_at_a_time_the_longest_silent_first() {
+fn longest_unreachable_voter_is_removed_first() {
     let five = [
         member("a", 1, 0),
         member("b", 2, 20),
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn a_silent_learner_is_removed_whatever_the_number_of_voters() {
+fn unreachable_learner_is_removed_regardless_of_the_number_of_voters() {
     let mut members = [
         member("a", 1, 0),
         member("b", 2, 0),
--- a/decision/fleet/tests/it/retry.rs
+++ b/decision/fleet/tests/it/retry.rs
@@ -1,4 +1,4 @@
-//! What follows a send, for every way in which it can end.
+//! Retry decision for every way in which a send can end.
 
 use std::time::Duration;
 
@@ -14,7 +14,7 @@
     Ended::Silent,
 ];
 
-/// What follows a send while there is budget.
+/// Returns the step after a send while the retry budget lasts.
 fn next_step(ended: Ended, policy: &Policy, now: Time) -> Step {
     next(ended, policy, now).step
 }
@@ -23,41 +23,41 @@
     pimentotide_fleet::next_step(ended, policy, now, || true)
 }
 
-fn policy(repeatable: bool, ran: u32, unrun: u32) -> Policy {
+fn policy(repeatable: bool, ran: u32, not_run: u32) -> Policy {
     Policy {
         repeatable,
         attempts: 2,
         ran,
-        not_run: unrun,
+        not_run,
         deadline: Time::ZERO + Duration::from_secs(1),
     }
 }
 
 #[test]
-fn every_end_has_its_step() {
-    let mut told = Vec::new();
+fn every_outcome_maps_to_a_step() {
+    let mut lines = Vec::new();
     for repeatable in [false, true] {
-        for (ran, unrun) in [(0, 1), (0, 3), (1, 0), (1, 1), (2, 0)] {
-            let policy = policy(repeatable, ran, unrun);
+        for (ran, not_run) in [(0, 1), (0, 3), (1, 0), (1, 1), (2, 0)] {
+            let policy = policy(repeatable, ran, not_run);
             let steps =
                 ENDS.map(|ended| format!("{ended:?} {:?}", next_step(ended, &policy, Time::ZERO)));
-            told.push(format!(
-                "repeatable {repeatable} ran {ran} unrun {unrun}: {}",
+            lines.push(format!(
+                "repeatable {repeatable} ran {ran} unrun {not_run}: {}",
                 steps.join(", ")
             ));
         }
     }
-    assert_snapshot!(told.join("\n"));
+    assert_snapshot!(lines.join("\n"));
 }
 
-/// A request that may have run is never sent again unless it is repeatable, nor called "not run".
+/// Guards against running a non-repeatable request twice and against a wrong "not run" report.
 #[test]
-fn a_request_that_may_have_run_is_not_repeated_and_not_called_unrun() {
+fn request_that_may_have_run_is_not_retried_or_reported_as_not_run() {
     for ended in ENDS {
-        for unrun in 0..4 {
-            let step = next_step(ended, &policy(false, 1, unrun), Time::ZERO);
-            let promises = step == Step::Answer(ErrorKind::NoUpstream);
-            assert!(!promises, "{ended:?}");
+        for not_run in 0..4 {
+            let step = next_step(ended, &policy(false, 1, not_run), Time::ZERO);
+            let reports_not_run = step == Step::Answer(ErrorKind::NoUpstream);
+            assert!(!reports_not_run, "{ended:?}");
             if matches!(ended, Ended::Broken | Ended::Failed | Ended::Silent) {
                 assert_ne!(step, Step::Again, "{ended:?}");
             }
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn nothing_is_sent_again_at_the_deadline() {
+fn no_retry_near_the_deadline() {
     let late = Time::ZERO + Duration::from_millis(980);
     for ended in ENDS {
         assert_ne!(next_step(ended, &policy(true, 0, 1), late), Step::Again);
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn what_keeps_a_request_from_another_send_is_named() {
+fn limit_that_prevents_a_retry_is_named() {
     let late = Time::ZERO + Duration::from_millis(980);
     let cases = [
         (
@@ -91,14 +91,14 @@
             Time::ZERO,
         ),
         (
-            "refused three times",
+            "rejected three times",
             Ended::Rejected,
             policy(false, 0, 3),
             Time::ZERO,
         ),
         ("near its deadline", Ended::Unsent, policy(true, 0, 1), late),
     ];
-    let told: Vec<String> = cases
+    let lines: Vec<String> = cases
         .iter()
         .map(|(name, ended, policy, now)| {
             let limit = next(*ended, policy, *now).limit;
@@ -108,17 +108,17 @@
             )
         })
         .collect();
-    assert_snapshot!(told.join("\n"), @r"
+    assert_snapshot!(lines.join("\n"), @r"
     may run again: again
     ran twice: no attempts left
     may run once only: may have run
-    refused three times: no attempts left
+    rejected three times: no attempts left
     near its deadline: no time left
     ");
 }
 
 #[test]
-fn without_budget_only_what_never_arrived_is_sent_again() {
+fn without_budget_only_unsent_requests_are_retried() {
     let policy = policy(true, 1, 1);
     for ended in ENDS {
         let next = pimentotide_fleet::next_step(ended, &policy, Time::ZERO, || false);
@@ -131,10 +131,10 @@
     }
 }
 
-/// The budget is not touched by a request that is given up for another reason.
+/// A request that is not retried for another reason does not use the retry budget.
 #[test]
-fn budget_is_spent_only_on_a_send_that_follows() {
-    let spend = || panic!("the budget was asked");
+fn budget_is_spent_only_on_an_actual_retry() {
+    let spend = || panic!("the budget was spent");
     pimentotide_fleet::next_step(Ended::Broken, &policy(false, 1, 0), Time::ZERO, spend);
     pimentotide_fleet::next_step(Ended::Unsent, &policy(true, 0, 1), Time::ZERO, spend);
 }
--- a/decision/fleet/tests/it/spread.rs
+++ b/decision/fleet/tests/it/spread.rs
@@ -1,8 +1,8 @@
-//! Spread of requests over many engines by many entries.
+//! Distribution of requests from many entries over many engines.
 //!
-//! Pattern: the heaviest day of a grown fleet. Each entry sends a given engine
-//! one request in ten seconds, so that what an answer tells of its load is long
-//! out of date, and some engines are full while others have room.
+//! Guards against full engines beside idle ones in a large fleet under peak load.
+//! Each entry sends one request to a given engine in ten seconds, so that the
+//! load reported in a response is stale by the next choice.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -15,16 +15,16 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use crate::state::{Log, said};
+use crate::state::{Log, announcement};
 
 const SLOTS: usize = 10;
-/// Time that a request runs, ms; an engine with all slots taken has others wait.
+/// Duration of a request, ms; requests queue while all slots of the engine are taken.
 const RUN_MS: u64 = 1_800;
 fn at(ms: u64) -> Time {
     Time::ZERO + Duration::from_millis(ms)
 }
 
-/// One engine: running requests with their ends, and those that wait.
+/// One engine: running requests with their end times, and queued requests.
 #[derive(Default)]
 struct Engine {
     running: Vec<(u64, usize, Ticket)>,
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Starts and ends requests; returns those that ended.
+    /// Ends due requests and starts queued ones; returns those that ended.
     fn advance(&mut self, ms: u64) -> Vec<(usize, Ticket)> {
         let (ended, running) = self.running.drain(..).partition(|(end, ..)| *end <= ms);
         self.running = running;
@@ -57,11 +57,11 @@
     }
 }
 
-/// Plays `seconds` of `rate` requests a second; returns the share of them that had to wait.
-fn share_that_waits(entries: usize, engines: usize, rate: u64, placed: bool) -> f64 {
+/// Simulates 30 s of `rate` requests per second; returns the ratio of requests that had to queue.
+fn queued_ratio(entries: usize, engines: usize, rate: u64, with_subsets: bool) -> f64 {
     let mut log = Log::default();
     for number in 0..engines {
-        let mut engine = said(&format!("u{number}"), 1_000 + number as u16, 1, 1);
+        let mut engine = announcement(&format!("u{number}"), 1_000 + number as u16, 1, 1);
         engine.slots = SLOTS as u32;
         log.apply(&Command::Announce(engine));
     }
@@ -78,7 +78,7 @@
     let mut balancers: Vec<Balancer> = (0..entries)
         .map(|n| {
             let mut balancer = Balancer::new(options.clone());
-            if placed {
+            if with_subsets {
                 balancer.set_position(EntryPosition {
                     index: n,
                     count: entries,
@@ -91,7 +91,7 @@
         .collect();
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     let mut fleet: Vec<Engine> = (0..engines).map(|_| Engine::default()).collect();
-    let (mut sent, mut waited) = (0_u32, 0_u32);
+    let (mut sent, mut queued) = (0_u32, 0_u32);
     for ms in 1..30_000 {
         for engine in &mut fleet {
             for (entry, ticket) in engine.advance(ms) {
@@ -102,13 +102,13 @@
             continue;
         }
         let entry = rng.random_range(0..entries);
-        let ask = ChoiceRequest {
+        let request = ChoiceRequest {
             service: &"advice".into(),
             tried: &[],
             may_queue: false,
         };
-        let Ok(choice) = balancers[entry].choose(&ask, at(ms), &mut rng) else {
-            waited += 1;
+        let Ok(choice) = balancers[entry].choose(&request, at(ms), &mut rng) else {
+            queued += 1;
             continue;
         };
         let number = addresses
@@ -118,49 +118,49 @@
         let engine = &mut fleet[number];
         sent += 1;
         let full = engine.running.len() >= SLOTS;
-        waited += u32::from(full);
+        queued += u32::from(full);
         if full {
             engine.waiting.push_back((entry, choice.ticket));
         } else {
             engine.running.push((ms + RUN_MS, entry, choice.ticket));
-            // The head of the answer tells the load at once.
+            // The response head reports the load at once.
             let load = engine.load();
             balancers[entry].report_load(&format!("u{number}").as_str().into(), load, at(ms));
         }
     }
-    f64::from(waited) / f64::from(sent)
+    f64::from(queued) / f64::from(sent)
 }
 
 #[test]
-fn entries_that_keep_to_their_own_upstreams_leave_few_requests_waiting() {
-    let apart = share_that_waits(44, 63, 260, true);
-    let together = share_that_waits(44, 63, 260, false);
+fn subsets_leave_few_requests_queued() {
+    let subsets = queued_ratio(44, 63, 260, true);
+    let shared = queued_ratio(44, 63, 260, false);
     assert!(
-        apart < together / 3.0,
-        "{apart:.4} apart, {together:.4} together"
+        subsets < shared / 3.0,
+        "{subsets:.4} with subsets, {shared:.4} without"
     );
-    assert!(apart < 0.05, "{apart:.4}");
+    assert!(subsets < 0.05, "{subsets:.4}");
 }
 
 #[test]
-fn a_small_fleet_is_spread_as_well() {
-    let apart = share_that_waits(9, 12, 50, true);
-    assert!(apart < 0.05, "{apart:.4}");
+fn small_fleet_leaves_few_requests_queued() {
+    let subsets = queued_ratio(9, 12, 50, true);
+    assert!(subsets < 0.05, "{subsets:.4}");
 }
 
 #[test]
-fn all_upstreams_are_used_where_there_are_more_than_entries() {
-    assert!(share_that_waits(3, 40, 160, true) < 0.05);
+fn all_upstreams_are_used_when_they_outnumber_entries() {
+    assert!(queued_ratio(3, 40, 160, true) < 0.05);
 }
 
 #[test]
-fn one_entry_that_gets_all_requests_uses_all_upstreams() {
-    assert!(share_that_waits(1, 12, 50, true) < 0.05);
+fn single_entry_uses_all_upstreams() {
+    assert!(queued_ratio(1, 12, 50, true) < 0.05);
 }
 
 #[test]
-fn the_place_of_an_entry_is_that_in_the_order_of_all() {
-    let place = EntryPosition::among(&5, &[9, 5, 1]);
-    assert_eq!(place, Some(EntryPosition { index: 1, count: 3 }));
+fn entry_position_follows_the_order_of_entries() {
+    let position = EntryPosition::among(&5, &[9, 5, 1]);
+    assert_eq!(position, Some(EntryPosition { index: 1, count: 3 }));
     assert_eq!(EntryPosition::among(&4, &[9, 5, 1]), None);
 }
--- a/decision/fleet/tests/it/state.rs
+++ b/decision/fleet/tests/it/state.rs
@@ -1,4 +1,4 @@
-//! Shared state: configurations, zones and announcements in any order.
+//! Replicated state: configurations, zones and announcements in any order.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 use pimentotide_model::Time;
 use proptest::prelude::*;
 
-pub(crate) fn said(upstream: &str, port: u16, born: u64, sequence: u64) -> Announcement {
+pub(crate) fn announcement(upstream: &str, port: u16, born: u64, sequence: u64) -> Announcement {
     Announcement {
         upstream: upstream.into(),
         service: "advice".into(),
@@ -22,7 +22,7 @@
     }
 }
 
-/// State with a count of the entries applied.
+/// State with the index of the last command applied.
 #[derive(Default)]
 pub(crate) struct Log {
     pub(crate) state: FleetState,
@@ -45,9 +45,9 @@
 }
 
 #[test]
-fn the_highest_version_is_in_force_and_old_orders_are_acknowledged() {
+fn highest_version_is_in_force_and_older_ones_are_acknowledged() {
     let mut log = Log::default();
-    let orders = [
+    let declarations = [
         (4, "four"),
         (4, "four"),
         (4, "other"),
@@ -55,23 +55,23 @@
         (9, "nine"),
         (4, "four"),
     ];
-    let told: Vec<String> = orders
+    let lines: Vec<String> = declarations
         .iter()
         .map(|(version, text)| {
             let reply = log.apply(&declare(*version, text));
-            let held = log.state.declared().unwrap();
-            let held = (
-                held.version,
-                String::from_utf8_lossy(&held.document).into_owned(),
+            let declared = log.state.declared().unwrap();
+            let declared = (
+                declared.version,
+                String::from_utf8_lossy(&declared.document).into_owned(),
             );
-            format!("{version} {text}: {reply}, in force {held:?}")
+            format!("{version} {text}: {reply}, in force {declared:?}")
         })
         .collect();
-    assert_snapshot!(told.join("\n"));
+    assert_snapshot!(lines.join("\n"));
 }
 
 #[test]
-fn zones_are_closed_and_opened_again_any_number_of_times() {
+fn closing_or_opening_a_zone_twice_changes_nothing() {
     let mut log = Log::default();
     let zone = |serving| Command::Zone {
         zone: "a".into(),
@@ -86,27 +86,27 @@
 }
 
 #[test]
-fn a_late_announcement_of_an_earlier_start_changes_nothing() {
+fn stale_announcement_is_ignored() {
     let mut log = Log::default();
-    log.apply(&Command::Announce(said("u1", 80, 5, 7)));
-    for stale in [said("u1", 80, 5, 6), said("u1", 80, 4, 99)] {
+    log.apply(&Command::Announce(announcement("u1", 80, 5, 7)));
+    for stale in [announcement("u1", 80, 5, 6), announcement("u1", 80, 4, 99)] {
         assert!(log.state.is_stale(&stale));
         assert_eq!(log.apply(&Command::Announce(stale)), Reply::NotNewer);
     }
-    // Started again under the same name: its counts start anew.
+    // After a restart under the same name the sequence numbers start again.
     assert_eq!(
-        log.apply(&Command::Announce(said("u1", 80, 6, 1))),
+        log.apply(&Command::Announce(announcement("u1", 80, 6, 1))),
         Reply::Done
     );
 }
 
 #[test]
-fn an_upstream_that_left_does_not_come_back_by_a_late_announcement() {
+fn late_announcement_does_not_restore_a_withdrawn_upstream() {
     let mut log = Log::default();
-    log.apply(&Command::Announce(said("u1", 80, 5, 1)));
+    log.apply(&Command::Announce(announcement("u1", 80, 5, 1)));
     assert_eq!(log.apply(&Command::Withdraw("u1".into())), Reply::Done);
     assert_eq!(
-        log.apply(&Command::Announce(said("u1", 80, 5, 2))),
+        log.apply(&Command::Announce(announcement("u1", 80, 5, 2))),
         Reply::NotNewer
     );
     assert!(log.state.upstreams().is_empty());
@@ -114,12 +114,12 @@
 }
 
 #[test]
-fn a_reused_address_belongs_to_the_newest_start() {
+fn reused_address_belongs_to_the_newest_upstream() {
     let mut log = Log::default();
-    log.apply(&Command::Announce(said("old", 80, 5, 1)));
-    log.apply(&Command::Announce(said("new", 80, 9, 1)));
+    log.apply(&Command::Announce(announcement("old", 80, 5, 1)));
+    log.apply(&Command::Announce(announcement("new", 80, 9, 1)));
     assert_eq!(
-        log.apply(&Command::Announce(said("old", 80, 5, 2))),
+        log.apply(&Command::Announce(announcement("old", 80, 5, 2))),
         Reply::NotNewer
     );
     let names: Vec<&str> = log.state.upstreams().keys().map(|n| n.as_str()).collect();
@@ -127,37 +127,37 @@
 }
 
 #[test]
-fn becoming_cold_again_and_warm_is_news() {
+fn becoming_cold_or_warm_is_an_update() {
     let mut log = Log::default();
     let with_cold = |sequence, cold_ms| Announcement {
         cold_ms,
-        ..said("u1", 80, 5, sequence)
+        ..announcement("u1", 80, 5, sequence)
     };
     let cold = [3_000, 1_800, 0, 0, 3_000];
-    let news: Vec<bool> = (1..)
+    let updates: Vec<bool> = (1..)
         .zip(cold)
         .map(|(sequence, cold_ms)| {
-            let said = with_cold(sequence, cold_ms);
-            let news = log.state.is_update(&said);
-            if news {
-                log.apply(&Command::Announce(said));
+            let announcement = with_cold(sequence, cold_ms);
+            let is_update = log.state.is_update(&announcement);
+            if is_update {
+                log.apply(&Command::Announce(announcement));
             }
-            news
+            is_update
         })
         .collect();
-    assert_eq!(news, [true, false, true, false, true]);
+    assert_eq!(updates, [true, false, true, false, true]);
 }
 
 #[test]
-fn only_an_upstream_that_stayed_silent_expires() {
+fn upstream_expires_only_without_newer_announcement() {
     let mut log = Log::default();
-    log.apply(&Command::Announce(said("u1", 80, 5, 1)));
+    log.apply(&Command::Announce(announcement("u1", 80, 5, 1)));
     let received_at = log.state.upstreams()["u1"].received_at;
     let expire = Command::Expire {
         upstream: "u1".into(),
         received_at,
     };
-    log.apply(&Command::Announce(said("u1", 80, 5, 2)));
+    log.apply(&Command::Announce(announcement("u1", 80, 5, 2)));
     assert_eq!(log.apply(&expire), Reply::NotNewer);
     let received_at = log.state.upstreams()["u1"].received_at;
     let expire = Command::Expire {
@@ -168,7 +168,7 @@
 }
 
 #[test]
-fn unreadable_commands_are_told_and_change_nothing() {
+fn undecodable_command_is_reported_as_malformed() {
     let mut state = FleetState::default();
     let reply = state.apply(Index(1), Time::ZERO, &[250, 1, 2]);
     assert_eq!(Reply::decode(&reply), Reply::Malformed);
@@ -178,11 +178,11 @@
 fn commands() -> impl Strategy<Value = Command> {
     let announce =
         (0..4_u16, 0..3_u64, 0..5_u64, any::<bool>()).prop_map(|(u, born, sequence, draining)| {
-            let mut said = said(&format!("u{u}"), 80 + u % 2, born, sequence);
+            let mut announcement = announcement(&format!("u{u}"), 80 + u % 2, born, sequence);
             if draining {
-                said.stage = Stage::Draining;
+                announcement.stage = Stage::Draining;
             }
-            Command::Announce(said)
+            Command::Announce(announcement)
         });
     prop_oneof![
         announce,
@@ -197,7 +197,7 @@
 
 proptest! {
     #[test]
-    fn a_snapshot_restores_the_state(commands in proptest::collection::vec(commands(), 0..40)) {
+    fn snapshot_restores_the_state(commands in proptest::collection::vec(commands(), 0..40)) {
         let mut log = Log::default();
         for command in &commands {
             log.apply(command);
@@ -208,16 +208,16 @@
     }
 
     #[test]
-    fn versions_never_fall_and_addresses_are_held_once(
+    fn versions_never_decrease_and_addresses_are_unique(
         commands in proptest::collection::vec(commands(), 0..60),
     ) {
         let mut log = Log::default();
         let mut version = 0;
         for command in &commands {
             log.apply(command);
-            let held = log.state.declared().map_or(0, |d| d.version);
-            prop_assert!(held >= version);
-            version = held;
+            let declared = log.state.declared().map_or(0, |d| d.version);
+            prop_assert!(declared >= version);
+            version = declared;
             let mut addresses: Vec<_> = log.state.upstreams().values().map(|r| r.announcement.address).collect();
             let count = addresses.len();
             addresses.sort_unstable();
--- a/decision/fleet/tests/it/stop.rs
+++ b/decision/fleet/tests/it/stop.rs
@@ -1,6 +1,7 @@
-//! Planned stops cut nothing that came in time and end within the grace.
+//! A graceful stop cuts no request that arrived in time and ends within the grace period.
 //!
-//! Seen on a day of a hunt: a request was taken 4.4 s after the signal and cut at 7.3 s.
+//! Guards against accepting requests too late to finish: one was accepted 4.4 s
+//! after the signal and cut at 7.3 s.
 
 use std::time::Duration;
 
@@ -13,7 +14,7 @@
 }
 
 #[test]
-fn nothing_is_taken_later_than_three_seconds_after_the_signal() {
+fn requests_are_refused_from_three_seconds_after_the_signal() {
     for open in [0, 5] {
         assert_eq!(at(0, open), StopPhase::Accepting);
         assert!(
@@ -25,7 +26,7 @@
 }
 
 #[test]
-fn requests_under_way_are_cut_only_in_the_last_sixth_of_the_grace() {
+fn in_flight_requests_are_cut_only_in_the_last_sixth_of_the_grace_period() {
     let last = GRACE.as_millis() as u64 * 5 / 6;
     assert!(
         (3_000..last)
@@ -36,13 +37,13 @@
 }
 
 #[test]
-fn an_idle_entry_ends_once_it_takes_nothing_more() {
+fn idle_entry_exits_once_it_refuses_requests() {
     assert_eq!(at(2_000, 0), StopPhase::Accepting);
     assert_eq!(at(3_000, 0), StopPhase::Ended);
 }
 
 #[test]
-fn a_short_grace_is_kept_too() {
+fn short_grace_period_is_kept() {
     let short = Duration::from_secs(2);
     assert_eq!(
         stop_phase(Duration::from_millis(1_100), 3, short),
