--- a/decision/fleet/src/state.rs
+++ b/decision/fleet/src/state.rs
@@ -103,7 +103,6 @@
         /// Upstream that timed out.
         upstream: UpstreamName,
         /// Log time of its last known announcement.
-        #[serde(rename = "heard")]
         received_at: Time,
     },
     /// Records the number of entries that share the limits.
