--- a/app/src/agent/core.rs
+++ b/app/src/agent/core.rs
@@ -146,7 +146,7 @@
         let mut inner = self.lock();
         inner.leaving = true;
         if let Some(slot) = &mut inner.slot {
-            slot.gate.leave();
+            slot.gate.drain();
         }
         drop(inner);
         self.publish();
@@ -169,7 +169,7 @@
             none => {
                 let mut slot = self.open_slot(state, now);
                 if leaving {
-                    slot.gate.leave();
+                    slot.gate.drain();
                 }
                 *none = Some(slot);
             }
@@ -195,7 +195,7 @@
             let announcement = self.announcement_of(&slot.engine, SocketAddr::from(([0; 4], 0)));
             let policy = GatePolicy::of(&view.declarations, &announcement);
             slot.revision = policy.revision;
-            grants = slot.gate.declare(policy, slot.engine.capacity, now);
+            grants = slot.gate.set_policy(policy, slot.engine.capacity, now);
         }
         inner.deliver(grants);
         drop(inner);
@@ -368,7 +368,7 @@
         let slot = inner.slot.as_mut()?;
         let mut grants = Vec::new();
         for credit in order.returned {
-            grants.extend(slot.gate.give_back(credit, now));
+            grants.extend(slot.gate.return_credit(credit, now));
         }
         grants.extend(slot.gate.demand(&order.entry, order.demand, now));
         inner.deliver(grants);
--- a/app/src/entry/attempt.rs
+++ b/app/src/entry/attempt.rs
@@ -7,7 +7,7 @@
 use pimentotide_instance::work::{Frame, FrameStream, WorkClient, WorkError, WorkOrder};
 use pimentotide_model::{ErrorKind, Failure, LoadReport, Ran, RequestId, UpstreamName};
 use pimentotide_outcome::Crash;
-use pimentotide_routing::Verdict;
+use pimentotide_routing::AttemptOutcome;
 
 use super::core::Core;
 use super::placing::{Flight, Placed};
@@ -95,7 +95,7 @@
                 Ok(Step::Piece(data))
             }
             Frame::End { .. } => {
-                self.finish(Verdict::Good);
+                self.finish(AttemptOutcome::Good);
                 Ok(Step::End)
             }
             _ => Err(self.out_of_order()),
@@ -123,7 +123,7 @@
                     frame => return frame,
                 },
                 () = stalled.notified() => if self.is_silent() {
-                    self.finish(Verdict::Cancelled);
+                    self.finish(AttemptOutcome::Cancelled);
                     return Err(Failure::new(ErrorKind::UpstreamFailed, "no progress"));
                 },
             }
@@ -153,11 +153,11 @@
         };
         match frame {
             Frame::Refused { failure, report } => {
-                self.finish(Verdict::Refused(Some(report)));
+                self.finish(AttemptOutcome::Refused(Some(report)));
                 Err(failure.with_ran(Ran::No))
             }
             Frame::Failed { failure } => {
-                self.finish(Verdict::Failed);
+                self.finish(AttemptOutcome::Failed);
                 Err(failure)
             }
             Frame::Head { report, .. } | Frame::End { report, .. } => {
@@ -170,7 +170,7 @@
 
     /// Tells of an agent that gave no answer, once its loss is recorded.
     async fn lost(&mut self, error: &WorkError) -> Failure {
-        self.finish(Verdict::Failed);
+        self.finish(AttemptOutcome::Failed);
         let failure = work_failure(error);
         if failure.ran != Ran::No {
             trial::report_loss(&self.core, self.loss.clone()).await;
@@ -184,7 +184,7 @@
         }
     }
 
-    fn finish(&mut self, verdict: Verdict) {
+    fn finish(&mut self, verdict: AttemptOutcome) {
         if let Some(flight) = self.flight.take() {
             flight.finish(verdict);
         }
--- a/app/src/entry/core.rs
+++ b/app/src/entry/core.rs
@@ -13,8 +13,8 @@
 use pimentotide_observe::Metrics;
 use pimentotide_outcome::LedgerEpoch;
 use pimentotide_routing::{
-    EntryState, Failed, FairQueue, Finished, Placer, PlacerSettings, Retry, RetryBudget, Ticket,
-    advise,
+    EntryState, FailedAttempt, FairQueue, Finished, Placer, PlacerSettings, Retry, RetryBudget,
+    Ticket, advise,
 };
 use tokio::sync::{Notify, watch};
 
@@ -59,7 +59,7 @@
             address: peer.address.to_string(),
             zone: peer.zone.clone(),
             stopping: false,
-            heard: Time::ZERO,
+            last_seen: Time::ZERO,
         });
         let inner = Inner {
             placer: Placer::open(settings),
@@ -140,7 +140,7 @@
             inner.placer.declare((*view.declarations).clone());
             for (service, queue) in &mut inner.queues {
                 if let Some(profile) = view.declarations.profile_of(service) {
-                    queue.declare(profile.queue.clone(), profile.shares.clone());
+                    queue.set_policy(profile.queue.clone(), profile.shares.clone());
                 }
             }
         }
@@ -151,7 +151,7 @@
             }
         }
         for name in known.keys().filter(|n| !view.upstreams.contains_key(*n)) {
-            inner.placer.forget(name);
+            inner.placer.remove_upstream(name);
             inner.stalls.remove(name);
             inner.epochs.remove(name);
         }
@@ -189,7 +189,7 @@
 
     /// Pause before another attempt; none if there may be no other.
     pub(super) fn may_retry(&self, job: &Job, attempt: u32) -> Option<Duration> {
-        let failed = Failed {
+        let failed = FailedAttempt {
             service: &job.meta.service,
             workspace: &job.meta.workspace,
             policy: &job.profile.retry,
@@ -219,7 +219,7 @@
             .iter_mut()
             .filter(|e| e.instance == self.options.instance)
         {
-            own.heard = now;
+            own.last_seen = now;
             own.stopping = inner.leaving;
         }
         let standing = |zone: &ZoneName| {
@@ -234,7 +234,7 @@
             let entry = entries.iter().find(|e| e.address == *address)?;
             Some((address.parse().ok()?, entry.zone.clone()))
         });
-        let keep = advice.keep.min(self.options.settings.keep);
+        let keep = advice.ttl.min(self.options.settings.keep);
         EntryAdvice {
             addresses: addresses.collect(),
             keep,
--- a/app/src/entry/once.rs
+++ b/app/src/entry/once.rs
@@ -20,7 +20,7 @@
     Action, Answer as Verdict, Attempt, Blob, Body, ClaimRef, Event, Intent, LedgerEpoch, NotRun,
     Outcome, Place, generated_key,
 };
-use pimentotide_routing::Verdict as Flown;
+use pimentotide_routing::AttemptOutcome as Flown;
 use tokio::sync::oneshot;
 
 use super::attempt::order;
--- a/app/src/entry/placing.rs
+++ b/app/src/entry/placing.rs
@@ -9,7 +9,7 @@
     ErrorKind, Failure, Incarnation, LoadReport, RequestMeta, Revision, Time, UpstreamName,
 };
 use pimentotide_routing::{
-    Candidates, CreditId, Decision, Finished, Placement, Reason, Ticket, Verdict,
+    AttemptOutcome, Candidates, CreditId, Decision, Finished, Placement, Reason, Ticket,
 };
 use tokio::sync::{Notify, oneshot};
 
@@ -89,7 +89,7 @@
             Placement::Chosen(decision) => return Ok(Attempted::Placed(Box::new(decision))),
             Placement::Refused(failure) => return Err(failure),
             Placement::Wait(wait) => {
-                for upstream in &wait.ask {
+                for upstream in &wait.upstreams {
                     ask_for_credits(core, client, &mut inner, upstream, &job.meta.service);
                 }
             }
@@ -225,16 +225,16 @@
     }
 
     /// Ends the attempt.
-    pub(super) fn finish(mut self, verdict: Verdict) {
+    pub(super) fn finish(mut self, verdict: AttemptOutcome) {
         self.end(verdict);
     }
 
-    fn end(&mut self, verdict: Verdict) {
+    fn end(&mut self, verdict: AttemptOutcome) {
         let Some(ticket) = self.ticket.take() else {
             return;
         };
         let done = Finished {
-            verdict,
+            outcome: verdict,
             first_token: self.first,
             total: self.core.now().since(self.sent),
             tokens: self.pieces,
@@ -246,14 +246,14 @@
 
 impl Drop for Flight {
     fn drop(&mut self) {
-        self.end(Verdict::Cancelled);
+        self.end(AttemptOutcome::Cancelled);
     }
 }
 
 /// End of a booking that was never used.
 pub(super) fn cancelled() -> Finished {
     Finished {
-        verdict: Verdict::Cancelled,
+        outcome: AttemptOutcome::Cancelled,
         first_token: None,
         total: Duration::ZERO,
         tokens: 0,
--- a/app/src/entry/relay.rs
+++ b/app/src/entry/relay.rs
@@ -229,7 +229,7 @@
         }
         if failure.ran == Ran::No {
             self.refusals += 1;
-            if !RetryBudget::may_replace(self.refusals) {
+            if !RetryBudget::may_reroute(self.refusals) {
                 // The agents that refused may be asked for credits.
                 self.tried.clear();
             }
--- a/app/src/entry/tasks.rs
+++ b/app/src/entry/tasks.rs
@@ -148,7 +148,7 @@
             let mut inner = core.lock();
             let known = inner.entries.iter_mut();
             for entry in known.filter(|e| e.instance == other.instance) {
-                entry.heard = now;
+                entry.last_seen = now;
                 entry.stopping = health.stopping;
             }
         }
--- a/app/src/entry/waiting.rs
+++ b/app/src/entry/waiting.rs
@@ -80,11 +80,11 @@
             Placement::Chosen(decision) => queued.item.accept(inner, decision, now),
             Placement::Refused(failure) => queued.item.refuse(failure),
             Placement::Wait(wait) => {
-                for upstream in &wait.ask {
+                for upstream in &wait.upstreams {
                     ask_for_credits(core, client, inner, upstream, service);
                 }
                 if let Some(queue) = inner.queues.get_mut(service) {
-                    queue.put_back(queued, now);
+                    queue.requeue(queued, now);
                 }
                 return;
             }
@@ -190,7 +190,7 @@
         }
         None => {
             if let Some(queue) = inner.queues.get_mut(&grant.service) {
-                queue.put_back(queued, now);
+                queue.requeue(queued, now);
             }
             false
         }
--- a/decision/fleet/src/upstream.rs
+++ b/decision/fleet/src/upstream.rs
@@ -108,10 +108,10 @@
         self.sent_since_report = 0;
     }
 
-    pub(crate) fn record_send(&mut self, now: Time) {
-        self.in_flight += 1;
-        self.sent_since_report += 1;
-        self.health.sent(now);
+    pub(crate) fn sent(&mut self, now: Time) {
+        self.mine += 1;
+        self.since += 1;
+        self.health.record_sent(now);
         if let Some(cold) = self.cold.as_mut().filter(|c| now < c.until) {
             cold.limit.take(now);
         }
@@ -125,22 +125,22 @@
         match outcome {
             Outcome::Good => {
                 self.good += 1.0;
-                self.health.good(now);
+                self.health.record_success(now);
                 false
             }
             Outcome::Failed => {
                 self.bad += 1.0;
-                let streak = self.health.failed();
-                let ratio = self.bad / (self.good + self.bad);
-                streak || (self.bad >= MIN_FAILURES && ratio >= EJECT_RATIO)
+                let streak = self.health.record_failure();
+                let share = self.bad / (self.good + self.bad);
+                streak || (self.bad >= LEAST_FAILURES && share >= EJECT_SHARE)
             }
             Outcome::Gone => {
                 self.gone = true;
-                self.health.neutral();
+                self.health.record_neutral();
                 false
             }
             Outcome::Full | Outcome::Neutral => {
-                self.health.neutral();
+                self.health.record_neutral();
                 false
             }
         }
--- a/decision/routing/src/advice.rs
+++ b/decision/routing/src/advice.rs
@@ -25,7 +25,8 @@
     /// Whether the entry is stopping.
     pub stopping: bool,
     /// Last sign of life.
-    pub heard: Time,
+    #[serde(rename = "heard")]
+    pub last_seen: Time,
 }
 
 /// Addresses in the order in which a caller should try them.
@@ -34,7 +35,8 @@
     /// Addresses, best first.
     pub addresses: Vec<String>,
     /// Time for which the answer may be kept.
-    pub keep: Duration,
+    #[serde(rename = "keep")]
+    pub ttl: Duration,
 }
 
 /// Orders entry addresses for a caller in `zone`: nearest first, spread evenly.
@@ -54,8 +56,8 @@
     R: Rng,
     F: Fn(&ZoneName) -> AdminState,
 {
-    let live = |e: &EntryState| !e.stopping && now.since(e.heard) < SILENCE;
-    let open = |e: &EntryState| live(e) && standing(&e.zone) == AdminState::In;
+    let live = |e: &EntryState| !e.stopping && now.since(e.last_seen) < SILENCE;
+    let open = |e: &EntryState| live(e) && standing(&e.zone) == Standing::In;
     let mut chosen: Vec<&EntryState> = entries.iter().filter(|e| open(e)).collect();
     if chosen.is_empty() {
         chosen = entries.iter().filter(|e| live(e)).collect();
@@ -68,12 +70,12 @@
         .map(|e| (zone != Some(&e.zone), rng.random(), e))
         .collect();
     ranked.sort_unstable_by_key(|(far, draw, _)| (*far, *draw));
-    let keep = rng.random_range(KEEP_LEAST.as_secs()..=KEEP_MOST.as_secs());
+    let ttl = rng.random_range(KEEP_LEAST.as_secs()..=KEEP_MOST.as_secs());
     Advice {
         addresses: ranked
             .into_iter()
             .map(|(_, _, e)| e.address.clone())
             .collect(),
-        keep: Duration::from_secs(keep),
+        ttl: Duration::from_secs(ttl),
     }
 }
--- a/decision/routing/src/gate/mod.rs
+++ b/decision/routing/src/gate/mod.rs
@@ -29,7 +29,7 @@
 pub(crate) use policy::serves;
 pub use policy::{GatePolicy, ServiceLimit};
 use share::Shares;
-pub use warmup::{Sign, Warmup};
+pub use warmup::{HealthSignal, Warmup};
 
 /// Weight of the latest sample in smoothed times.
 const SMOOTHING: f64 = 0.2;
@@ -181,7 +181,7 @@
     /// Puts a policy in force; an older one than that in force is ignored.
     ///
     /// An upstream that was out starts over, because its caches may be cold.
-    pub fn declare(&mut self, policy: GatePolicy, capacity: u32, now: Time) -> Vec<Grant> {
+    pub fn set_policy(&mut self, policy: GatePolicy, capacity: u32, now: Time) -> Vec<Grant> {
         if policy.revision < self.policy.revision {
             return Vec::new();
         }
@@ -205,13 +205,13 @@
     }
 
     /// Takes no new work from now on; what runs goes on.
-    pub fn leave(&mut self) {
+    pub fn drain(&mut self) {
         self.leaving = true;
         self.credits.clear();
     }
 
-    /// Takes new work again after [`Gate::leave`], from the initial allowance.
-    pub fn rejoin(&mut self, now: Time) {
+    /// Takes new work again after [`Gate::drain`], from the initial allowance.
+    pub fn resume(&mut self, now: Time) {
         self.leaving = false;
         self.warmup.restart(now);
     }
@@ -233,7 +233,7 @@
     }
 
     /// Lowers the allowance at a sign of coldness or overload.
-    pub fn observe(&mut self, sign: Sign, now: Time) {
+    pub fn observe(&mut self, sign: HealthSignal, now: Time) {
         self.warmup.observe(sign, now);
         self.credits.trim(self.spare_for_credits());
     }
@@ -290,13 +290,13 @@
     }
 
     /// Takes back a credit that its entry has no use for.
-    pub fn give_back(&mut self, credit: CreditId, now: Time) -> Vec<Grant> {
+    pub fn return_credit(&mut self, credit: CreditId, now: Time) -> Vec<Grant> {
         self.credits.take(credit);
         self.settle(now)
     }
 
     /// Drops the credits and the demand of an entry that is gone.
-    pub fn forget(&mut self, entry: &InstanceName, now: Time) -> Vec<Grant> {
+    pub fn remove_entry(&mut self, entry: &InstanceName, now: Time) -> Vec<Grant> {
         self.credits.forget(entry);
         self.settle(now)
     }
@@ -341,8 +341,8 @@
         self.warmup.allowance()
     }
 
-    /// Whether the last work has ended after [`Gate::leave`].
-    pub fn drained(&self) -> bool {
+    /// Whether the last work has ended after [`Gate::drain`].
+    pub fn is_drained(&self) -> bool {
         self.leaving && self.running.is_empty()
     }
 
@@ -424,9 +424,9 @@
     fn learn(&mut self, run: &Running, done: Completed, full: bool, now: Time) {
         match done.outcome {
             Outcome::Good => self.learn_good(run, done, full, now),
-            Outcome::Overloaded => self.warmup.observe(Sign::Overload, now),
-            Outcome::Cold => self.warmup.observe(Sign::Cold, now),
-            Outcome::Failed => self.warmup.observe(Sign::Failure, now),
+            Outcome::Overloaded => self.warmup.observe(HealthSignal::Overload, now),
+            Outcome::Cold => self.warmup.observe(HealthSignal::Cold, now),
+            Outcome::Failed => self.warmup.observe(HealthSignal::Failure, now),
             Outcome::Cancelled => {}
         }
     }
--- a/decision/routing/src/gate/warmup.rs
+++ b/decision/routing/src/gate/warmup.rs
@@ -28,7 +28,7 @@
 
 /// Sign that an upstream bears less than its allowance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Sign {
+pub enum HealthSignal {
     /// The engine says or shows that it is cold.
     Cold,
     /// The engine says or shows that it is overloaded.
@@ -113,12 +113,12 @@
     }
 
     /// Lowers the allowance at a sign of trouble.
-    pub fn observe(&mut self, sign: Sign, now: Time) {
+    pub fn observe(&mut self, sign: HealthSignal, now: Time) {
         self.advance(now);
         match sign {
-            Sign::Cold => self.restart(now),
-            Sign::Overload => self.halve(),
-            Sign::Failure => {
+            HealthSignal::Cold => self.restart(now),
+            HealthSignal::Overload => self.halve(),
+            HealthSignal::Failure => {
                 self.failures += 1;
                 if self.failures >= FAILURE_STREAK {
                     self.failures = 0;
--- a/decision/routing/src/health.rs
+++ b/decision/routing/src/health.rs
@@ -80,7 +80,7 @@
     }
 
     /// Notes a request sent.
-    pub fn sent(&mut self, now: Time) {
+    pub fn record_sent(&mut self, now: Time) {
         if let HealthState::Ejected { until } = self.state
             && now >= until
         {
@@ -93,16 +93,16 @@
     }
 
     /// Notes progress on any request: a first token, a later one or an answer.
-    pub fn progress(&mut self, now: Time) {
+    pub fn record_progress(&mut self, now: Time) {
         let gap = now.since(self.progress);
         self.pace = (self.pace * 7 + gap) / 8;
         self.progress = now;
     }
 
     /// Notes an answer in full, or a refusal, which shows the upstream is alive.
-    pub fn good(&mut self, now: Time) {
+    pub fn record_success(&mut self, now: Time) {
         self.running = self.running.saturating_sub(1);
-        self.progress(now);
+        self.record_progress(now);
         self.streak = 0;
         self.good += 1;
         if self.good >= FORGET_GOOD {
@@ -115,13 +115,13 @@
     }
 
     /// Notes a request that ended without a verdict on the upstream.
-    pub fn neutral(&mut self) {
+    pub fn record_neutral(&mut self) {
         self.running = self.running.saturating_sub(1);
     }
 
     /// Notes a failure; true if the upstream should be ejected.
     #[must_use]
-    pub fn failed(&mut self) -> bool {
+    pub fn record_failure(&mut self) -> bool {
         self.running = self.running.saturating_sub(1);
         self.streak += 1;
         let probing = matches!(self.state, HealthState::Probation { .. });
--- a/decision/routing/src/lib.rs
+++ b/decision/routing/src/lib.rs
@@ -18,12 +18,12 @@
 pub use advice::{Advice, EntryState, advise};
 pub use gate::{
     Admission, Completed, CreditId, Demand, EntryDemand, Gate, GatePolicy, GateSettings, Grant,
-    Outcome, Permit, Refusal, ServiceLimit, Sign, Warmup,
+    HealthSignal, Outcome, Permit, Refusal, ServiceLimit, Warmup,
 };
 pub use health::{Health, HealthState};
 pub use placer::{
-    CacheAction, CacheChange, CacheEvent, CacheSnapshot, Candidate, Candidates, Decision, Finished,
-    Placement, Placer, PlacerSettings, Reason, Ticket, Verdict, Wait,
+    AttemptOutcome, CacheAction, CacheChange, CacheEvent, CacheSnapshot, Candidate, Candidates,
+    Decision, Finished, Placement, Placer, PlacerSettings, Reason, Ticket, Wait,
 };
 pub use queue::{FairQueue, Queued, Shed, ShedReason};
-pub use retry::{Denial, Failed, Retry, RetryBudget};
+pub use retry::{Denial, FailedAttempt, Retry, RetryBudget};
--- a/decision/routing/src/placer/decision.rs
+++ b/decision/routing/src/placer/decision.rs
@@ -85,7 +85,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Wait {
     /// Upstreams whose agents should be asked for credits.
-    pub ask: SmallVec<[UpstreamName; INLINE_CANDIDATES]>,
+    pub upstreams: SmallVec<[UpstreamName; INLINE_CANDIDATES]>,
 }
 
 /// What becomes of a request.
@@ -105,7 +105,7 @@
 
 /// How a placed request ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Verdict {
+pub enum AttemptOutcome {
     /// Answered in full.
     Good,
     /// Refused by the gate as "not run", with its load.
@@ -120,7 +120,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Finished {
     /// How it ended.
-    pub verdict: Verdict,
+    pub outcome: AttemptOutcome,
     /// Time from sending to the first token or to the head of the answer.
     pub first_token: Option<Duration>,
     /// Time from sending to the end.
--- a/decision/routing/src/placer/mod.rs
+++ b/decision/routing/src/placer/mod.rs
@@ -25,10 +25,10 @@
 
 use crate::gate::CreditId;
 use crate::health::HealthState;
-use decision::{Booking, INLINE_CANDIDATES};
 pub use decision::{
-    Candidate, Candidates, Decision, Finished, Placement, Reason, Ticket, Verdict, Wait,
+    AttemptOutcome, Candidate, Candidates, Decision, Finished, Placement, Reason, Ticket, Wait,
 };
+use decision::{Booking, INLINE_CANDIDATES};
 use directory::Directory;
 use pool::{Pool, Pools};
 use prefix::Beliefs;
@@ -49,19 +49,19 @@
     pub zone: ZoneName,
     /// Candidates drawn for each decision, half of them from the nearest zone.
     pub choices: usize,
-    /// Number by which entries lean towards different upstreams.
-    pub lean: u64,
+    /// Seed of the bias that directs entries to different upstreams.
+    pub bias_seed: u64,
 }
 
 impl PlacerSettings {
     /// Returns the usual settings of an entry.
     pub fn new(instance: InstanceName, zone: ZoneName) -> Self {
-        let lean = Fingerprint::of([instance.as_bytes()]).0;
+        let digest = Fingerprint::of([instance.as_bytes()]).0;
         Self {
             instance,
             zone,
             choices: 6,
-            lean: u64::from_le_bytes(lean[..8].try_into().unwrap_or_default()),
+            bias_seed: u64::from_le_bytes(digest[..8].try_into().unwrap_or_default()),
         }
     }
 }
@@ -126,7 +126,7 @@
     }
 
     /// Forgets an upstream that has not been heard of for long.
-    pub fn forget(&mut self, upstream: &UpstreamName) {
+    pub fn remove_upstream(&mut self, upstream: &UpstreamName) {
         let Some(index) = self.directory.remove(upstream) else {
             return;
         };
@@ -203,7 +203,7 @@
         let shortlist = scene.shortlist(rng);
         if shortlist.is_empty() {
             return Placement::Wait(Wait {
-                ask: scene.to_ask(rng),
+                upstreams: scene.to_ask(rng),
             });
         }
         let reason = scene.reason(&shortlist);
@@ -243,7 +243,7 @@
     /// Notes progress of a placed request: a first token or a later one.
     pub fn progress(&mut self, ticket: &Ticket, now: Time) {
         if let Some(slot) = self.booked(ticket.0) {
-            slot.health.progress(now);
+            slot.health.record_progress(now);
         }
     }
 
@@ -253,11 +253,11 @@
         if !self.directory.end(booking.slot, booking.generation, now) {
             return;
         }
-        match done.verdict {
-            Verdict::Good => self.learn(booking, meta, done, now),
-            Verdict::Refused(report) => self.refused(booking, meta, report, now),
-            Verdict::Cancelled => self.cancelled(booking),
-            Verdict::Failed => self.failed(booking, meta, now),
+        match done.outcome {
+            AttemptOutcome::Good => self.learn(booking, meta, done, now),
+            AttemptOutcome::Refused(report) => self.refused(booking, meta, report, now),
+            AttemptOutcome::Cancelled => self.cancelled(booking),
+            AttemptOutcome::Failed => self.failed(booking, meta, now),
         }
     }
 
@@ -295,7 +295,7 @@
     }
 
     /// Blocks of prompts believed cached anywhere.
-    pub fn believed_blocks(&self) -> usize {
+    pub fn tracked_blocks(&self) -> usize {
         self.beliefs.len()
     }
 
@@ -405,7 +405,7 @@
         let blocks = u32::try_from(meta.prefix.len()).unwrap_or(u32::MAX);
         let hit = done.cached.unwrap_or(booking.believed).min(blocks);
         if let Some(slot) = self.booked(booking) {
-            slot.health.good(now);
+            slot.health.record_success(now);
             slot.verify(booking.believed, hit);
         }
         let first = done.first_token.unwrap_or(done.total);
@@ -417,7 +417,7 @@
 
     fn cancelled(&mut self, booking: Booking) {
         if let Some(slot) = self.booked(booking) {
-            slot.health.neutral();
+            slot.health.record_neutral();
         }
     }
 
@@ -439,7 +439,7 @@
         self.disbelieve(booking, meta);
         let failing = self
             .booked(booking)
-            .is_some_and(|slot| slot.health.failed());
+            .is_some_and(|slot| slot.health.record_failure());
         if failing {
             self.eject(booking.slot, now);
         }
--- a/decision/routing/src/placer/scene.rs
+++ b/decision/routing/src/placer/scene.rs
@@ -177,7 +177,8 @@
         if self.pool.is_zonal() {
             return 0.0;
         }
-        let mixed = (self.settings.lean ^ u64::from(index)).wrapping_mul(0x9e37_79b9_7f4a_7c15);
+        let mixed =
+            (self.settings.bias_seed ^ u64::from(index)).wrapping_mul(0x9e37_79b9_7f4a_7c15);
         LEAN * (mixed >> 32) as f64 / f64::from(u32::MAX)
     }
 
--- a/decision/routing/src/placer/slot.rs
+++ b/decision/routing/src/placer/slot.rs
@@ -75,7 +75,7 @@
     /// Counts a request of this entry.
     pub(super) fn begin(&mut self, now: Time) {
         self.inflight += 1;
-        self.health.sent(now);
+        self.health.record_sent(now);
         self.remember(now);
     }
 
--- a/decision/routing/src/queue/flow.rs
+++ b/decision/routing/src/queue/flow.rs
@@ -72,7 +72,7 @@
     }
 
     /// Adds a request that was taken out, and refunds its cost.
-    pub(super) fn put_back(&mut self, queued: Queued<T>, weight: u32) {
+    pub(super) fn requeue(&mut self, queued: Queued<T>, weight: u32) {
         let workspace = queued.workspace.clone();
         self.push(queued, weight);
         if let Some(flow) = self.flows.get_mut(&workspace) {
--- a/decision/routing/src/queue/mod.rs
+++ b/decision/routing/src/queue/mod.rs
@@ -115,7 +115,7 @@
     }
 
     /// Puts other bounds and shares in force.
-    pub fn declare(&mut self, policy: QueuePolicy, shares: BTreeMap<WorkspaceName, u32>) {
+    pub fn set_policy(&mut self, policy: QueuePolicy, shares: BTreeMap<WorkspaceName, u32>) {
         self.policy = policy;
         self.shares = shares;
     }
@@ -166,14 +166,14 @@
     }
 
     /// Puts a request back at the front after a refusal that was "not run".
-    pub fn put_back(&mut self, queued: Queued<T>, now: Time) {
+    pub fn requeue(&mut self, queued: Queued<T>, now: Time) {
         self.drain.undo(now);
         let weight = self.weight(&queued.workspace);
         self.count += 1;
         self.classes
             .entry(Reverse(queued.priority))
             .or_default()
-            .put_back(queued, weight);
+            .requeue(queued, weight);
     }
 
     /// Takes out a request whose caller went away.
--- a/decision/routing/src/retry.rs
+++ b/decision/routing/src/retry.rs
@@ -77,7 +77,7 @@
     }
 
     /// Decides on a retry after attempt number `attempt`, counted from 1.
-    pub fn decide<R>(&mut self, ask: &Failed<'_>, now: Time, rng: &mut R) -> Retry
+    pub fn decide<R>(&mut self, ask: &FailedAttempt<'_>, now: Time, rng: &mut R) -> Retry
     where
         R: Rng,
     {
@@ -100,7 +100,7 @@
     }
 
     /// Whether a request refused `refusals` times as "not run" is placed again at once.
-    pub fn may_replace(refusals: u32) -> bool {
+    pub fn may_reroute(refusals: u32) -> bool {
         refusals < MAX_REFUSALS
     }
 
@@ -155,7 +155,7 @@
 
 /// An attempt that ran and failed.
 #[derive(Clone, Copy, Debug)]
-pub struct Failed<'a> {
+pub struct FailedAttempt<'a> {
     /// Service that was asked.
     pub service: &'a ServiceName,
     /// Workspace on whose behalf it ran.
--- a/decision/routing/tests/it/advice.rs
+++ b/decision/routing/tests/it/advice.rs
@@ -14,7 +14,7 @@
             address: format!("127.0.0.1:{}", 8000 + i),
             zone: ZoneName::from(ZONES[i % 3]),
             stopping: false,
-            heard: at(10_000),
+            last_seen: at(10_000),
         })
         .collect()
 }
@@ -23,7 +23,7 @@
 fn nearest_first_without_those_that_stop_or_are_silent() {
     let mut entries = entries();
     entries[0].stopping = true;
-    entries[3].heard = at(1_000);
+    entries[3].last_seen = at(1_000);
     let zone = ZoneName::from(ZONES[0]);
     let out = |z: &ZoneName| {
         if z.as_str() == ZONES[1] {
@@ -53,8 +53,8 @@
     let mut rng = rng();
     let mut firsts: BTreeMap<String, u32> = BTreeMap::new();
     for _ in 0..9_000 {
-        let advice = advise(None, &entries, |_| AdminState::In, at(10_000), &mut rng);
-        assert!((5..=10).contains(&advice.keep.as_secs()));
+        let advice = advise(None, &entries, |_| Standing::In, at(10_000), &mut rng);
+        assert!((5..=10).contains(&advice.ttl.as_secs()));
         *firsts.entry(advice.addresses[0].clone()).or_default() += 1;
     }
     assert!(
--- a/decision/routing/tests/it/cache.rs
+++ b/decision/routing/tests/it/cache.rs
@@ -35,7 +35,7 @@
         Placement::Chosen(decision) => {
             let hit = decision.candidates[0].hit;
             let done = pimentotide_routing::Finished {
-                verdict: pimentotide_routing::Verdict::Refused(None),
+                outcome: pimentotide_routing::AttemptOutcome::Refused(None),
                 first_token: None,
                 total: Default::default(),
                 tokens: 0,
@@ -101,7 +101,7 @@
         panic!("not placed");
     };
     let done = pimentotide_routing::Finished {
-        verdict: pimentotide_routing::Verdict::Good,
+        outcome: pimentotide_routing::AttemptOutcome::Good,
         first_token: Some(std::time::Duration::from_millis(640)),
         total: std::time::Duration::from_secs(2),
         tokens: 100,
--- a/decision/routing/tests/it/gate.rs
+++ b/decision/routing/tests/it/gate.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use pimentotide_model::{ErrorKind, Incarnation, InstanceName, Priority, Revision, Time, Warmth};
-use pimentotide_routing::{Completed, GatePolicy, Outcome, Sign};
+use pimentotide_routing::{Completed, GatePolicy, HealthSignal, Outcome};
 
 use crate::fixture::{
     admission, announcement, at, declarations, demand, gate, good, profile, warm, zone_out,
@@ -20,7 +20,7 @@
     let mut kinds = Vec::new();
 
     let mut lapsed = gate();
-    lapsed.declare(
+    lapsed.set_policy(
         GatePolicy::of(&zone_out(declarations(profile()), "accra-a"), &announced),
         8,
         at(1),
@@ -28,7 +28,7 @@
     kinds.push(("zone out", kind_of(lapsed.admit(&ask, at(2)))));
 
     let mut leaving = gate();
-    leaving.leave();
+    leaving.drain();
     kinds.push(("leaving", kind_of(leaving.admit(&ask, at(2)))));
 
     let mut full = gate();
@@ -40,7 +40,7 @@
     other.concurrency = Some(4);
     let mut declared = declarations(other);
     declared.revision = Revision(5);
-    changed.declare(GatePolicy::of(&declared, &announced), 8, at(1));
+    changed.set_policy(GatePolicy::of(&declared, &announced), 8, at(1));
     kinds.push(("stale", kind_of(changed.admit(&ask, at(2)))));
 
     let settings = pimentotide_routing::GateSettings {
@@ -61,7 +61,7 @@
     let mut gate = gate();
     let announced = announcement(0, 8);
     let elsewhere = zone_out(declarations(profile()), "tema-c");
-    gate.declare(GatePolicy::of(&elsewhere, &announced), 8, at(1));
+    gate.set_policy(GatePolicy::of(&elsewhere, &announced), 8, at(1));
     assert!(gate.admit(&admission("e1", "w"), at(2)).is_ok());
 }
 
@@ -80,9 +80,9 @@
         }
         trace.push(format!("{now} good: {}", gate.allowance()));
     }
-    gate.observe(Sign::Overload, now);
+    gate.observe(HealthSignal::Overload, now);
     trace.push(format!("overload: {}", gate.allowance()));
-    gate.observe(Sign::Cold, now);
+    gate.observe(HealthSignal::Cold, now);
     trace.push(format!(
         "cold: {} {}",
         gate.allowance(),
@@ -180,7 +180,7 @@
     let grants = gate.demand(&name("e1"), vec![demand("w", soon, 8)], now);
     assert_eq!(grants.len(), 8);
     gate.demand(&name("e2"), vec![demand("w", soon, 2)], now);
-    let passed = gate.give_back(grants[0].credit, now);
+    let passed = gate.return_credit(grants[0].credit, now);
     assert_eq!(passed[0].entry, name("e2"));
     let later = now + Duration::from_millis(250);
     let lapsed = gate.tick(later);
@@ -193,11 +193,11 @@
 fn drained_after_the_last_completion() {
     let mut gate = gate();
     let permit = gate.admit(&admission("e1", "w"), at(0)).expect("admitted");
-    gate.leave();
-    assert!(!gate.drained());
+    gate.drain();
+    assert!(!gate.is_drained());
     gate.complete(permit, good(), at(5));
-    assert!(gate.drained());
-    gate.rejoin(at(6));
+    assert!(gate.is_drained());
+    gate.resume(at(6));
     assert!(
         gate.admit(&admission("e1", "w"), Time::from_millis(6))
             .is_ok()
--- a/decision/routing/tests/it/gate_limits.rs
+++ b/decision/routing/tests/it/gate_limits.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use pimentotide_model::{Incarnation, InstanceName, Time};
-use pimentotide_routing::{Completed, CreditId, Gate, Outcome, Permit, Sign};
+use pimentotide_routing::{Completed, CreditId, Gate, HealthSignal, Outcome, Permit};
 use proptest::prelude::*;
 
 use crate::fixture::{admission, at, demand, gate, good};
@@ -21,7 +21,7 @@
     Complete { which: usize, outcome: usize },
     Die(usize),
     Restart,
-    Sign(usize),
+    Signal(usize),
     Tick,
 }
 
@@ -34,7 +34,7 @@
             .prop_map(|(which, outcome)| Step::Complete { which, outcome }),
         1 => (0_usize..9).prop_map(Step::Die),
         1 => Just(Step::Restart),
-        1 => (0_usize..6).prop_map(Step::Sign),
+        1 => (0_usize..6).prop_map(Step::Signal),
         2 => Just(Step::Tick),
     ]
 }
@@ -83,7 +83,7 @@
             Step::Complete { which, outcome } => self.complete(which, outcome),
             Step::Die(entry) => {
                 self.credits.retain(|(e, _)| *e != entry);
-                let grants = self.gate.forget(&name(entry), self.now);
+                let grants = self.gate.remove_entry(&name(entry), self.now);
                 self.keep(grants);
             }
             Step::Restart => {
@@ -92,7 +92,7 @@
                 self.started = self.now;
                 self.good = 0;
             }
-            Step::Sign(kind) => self.sign(kind),
+            Step::Signal(kind) => self.signal(kind),
             Step::Tick => {
                 let grants = self.gate.tick(self.now);
                 self.keep(grants);
@@ -142,17 +142,17 @@
         self.keep(grants);
     }
 
-    fn sign(&mut self, kind: usize) {
-        let sign = match kind {
-            0 => Sign::Cold,
-            1..=3 => Sign::Failure,
-            _ => Sign::Overload,
+    fn signal(&mut self, kind: usize) {
+        let signal = match kind {
+            0 => HealthSignal::Cold,
+            1..=3 => HealthSignal::Failure,
+            _ => HealthSignal::Overload,
         };
-        if sign == Sign::Cold {
+        if signal == HealthSignal::Cold {
             self.started = self.now;
             self.good = 0;
         }
-        self.gate.observe(sign, self.now);
+        self.gate.observe(signal, self.now);
     }
 
     fn keep(&mut self, grants: Vec<pimentotide_routing::Grant>) {
--- a/decision/routing/tests/it/health.rs
+++ b/decision/routing/tests/it/health.rs
@@ -3,16 +3,16 @@
 use std::time::Duration;
 
 use pimentotide_model::{Time, UpstreamName};
-use pimentotide_routing::{Decision, Finished, HealthState, Placement, Placer, Verdict};
+use pimentotide_routing::{AttemptOutcome, Decision, Finished, HealthState, Placement, Placer};
 use proptest::prelude::*;
 
 use crate::fixture::{at, meta, placer, rng};
 
 const COUNT: usize = 12;
 
-fn end(verdict: Verdict) -> Finished {
+fn end(outcome: AttemptOutcome) -> Finished {
     Finished {
-        verdict,
+        outcome,
         first_token: Some(Duration::from_millis(80)),
         total: Duration::from_millis(400),
         tokens: 16,
@@ -48,7 +48,12 @@
     let up = names().remove(3);
     for _ in 0..3 {
         let decision = place_on(&mut placer, &up, at(1)).expect("placed");
-        placer.finish(decision.ticket, &meta(1, "w"), &end(Verdict::Failed), at(2));
+        placer.finish(
+            decision.ticket,
+            &meta(1, "w"),
+            &end(AttemptOutcome::Failed),
+            at(2),
+        );
     }
     assert_eq!(
         placer.health(&up),
@@ -63,7 +68,7 @@
             "one probe at a time"
         );
         now += Duration::from_millis(400);
-        placer.finish(probe.ticket, &meta(1, "w"), &end(Verdict::Good), now);
+        placer.finish(probe.ticket, &meta(1, "w"), &end(AttemptOutcome::Good), now);
     }
     assert_eq!(placer.health(&up), Some(HealthState::Healthy));
 }
@@ -97,7 +102,7 @@
         for index in failing {
             let up = names().remove(index);
             if let Some(decision) = place_on(&mut placer, &up, at(1)) {
-                placer.finish(decision.ticket, &meta(1, "w"), &end(Verdict::Failed), at(2));
+                placer.finish(decision.ticket, &meta(1, "w"), &end(AttemptOutcome::Failed), at(2));
             }
             prop_assert!(ejected(&placer) <= COUNT / 2);
         }
--- a/decision/routing/tests/it/placement.rs
+++ b/decision/routing/tests/it/placement.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use pimentotide_model::{AdapterName, Incarnation, UpstreamName, VersionName, ZoneName};
-use pimentotide_routing::{CreditId, Finished, Placement, Verdict};
+use pimentotide_routing::{AttemptOutcome, CreditId, Finished, Placement};
 
 use crate::fixture::{
     announcement, at, declarations, meta, placer, profile, report, rng, zone_out,
@@ -29,7 +29,7 @@
             }
         }
         Placement::Wait(wait) => {
-            let _ = write!(text, "wait, ask {}", wait.ask.len());
+            let _ = write!(text, "wait, ask {}", wait.upstreams.len());
         }
         Placement::Refused(failure) => {
             let _ = write!(text, "{failure}");
@@ -44,7 +44,7 @@
     let mut rng = rng();
     let mut texts = Vec::new();
     let done = Finished {
-        verdict: Verdict::Good,
+        outcome: AttemptOutcome::Good,
         first_token: Some(Duration::from_millis(80)),
         total: Duration::from_millis(1_080),
         tokens: 101,
@@ -96,7 +96,7 @@
     let mut adapted = meta(3, "w");
     adapted.adapter = Some(AdapterName::from("oak"));
     texts.push(describe(&placer.place(&adapted, &[], at(1), &mut rng)));
-    placer.forget(&name(2));
+    placer.remove_upstream(&name(2));
     texts.push(describe(&placer.place(&meta(4, "w"), &[], at(1), &mut rng)));
     insta::assert_debug_snapshot!(texts);
 }
@@ -116,7 +116,7 @@
     for step in 0..8 {
         if let Placement::Chosen(d) = placer.place(&meta(step, "w"), &[], at(2), &mut teach) {
             let done = Finished {
-                verdict: Verdict::Good,
+                outcome: AttemptOutcome::Good,
                 first_token: Some(Duration::from_millis(80)),
                 total: Duration::from_millis(1_080),
                 tokens: 101,
--- a/decision/routing/tests/it/queue.rs
+++ b/decision/routing/tests/it/queue.rs
@@ -127,7 +127,7 @@
     }
     let first = queue.pop(at(1)).expect("queued");
     let id = first.id;
-    queue.put_back(first, at(2));
+    queue.requeue(first, at(2));
     assert_eq!(queue.pop(at(3)).map(|q| q.id), Some(id));
     assert_eq!(
         queue
--- a/decision/routing/tests/it/retry.rs
+++ b/decision/routing/tests/it/retry.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use pimentotide_model::{RetryPolicy, ServiceName, WorkspaceName};
-use pimentotide_routing::{Denial, Failed, Retry, RetryBudget};
+use pimentotide_routing::{Denial, FailedAttempt, Retry, RetryBudget};
 use proptest::prelude::*;
 
 use crate::fixture::{at, rng};
@@ -21,8 +21,8 @@
     workspace: &'a WorkspaceName,
     policy: &'a RetryPolicy,
     attempt: u32,
-) -> Failed<'a> {
-    Failed {
+) -> FailedAttempt<'a> {
+    FailedAttempt {
         service,
         workspace,
         policy,
@@ -38,12 +38,12 @@
     let mut budget = RetryBudget::default();
     let mut rng = rng();
     let base = failed(&service, &workspace, &policy, 1);
-    let once = Failed {
+    let once = FailedAttempt {
         idempotent: false,
         ..base
     };
-    let last = Failed { attempt: 3, ..base };
-    let late = Failed {
+    let last = FailedAttempt { attempt: 3, ..base };
+    let late = FailedAttempt {
         deadline: at(1),
         ..base
     };
--- a/dev/bench/src/bin/capacity_entry.rs
+++ b/dev/bench/src/bin/capacity_entry.rs
@@ -12,7 +12,7 @@
 };
 use pimentotide_outcome::LedgerEpoch;
 use pimentotide_routing::{
-    CacheChange, CacheEvent, Finished, Placement, Placer, PlacerSettings, Verdict,
+    AttemptOutcome, CacheChange, CacheEvent, Finished, Placement, Placer, PlacerSettings,
 };
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
@@ -118,7 +118,7 @@
             return;
         };
         let done = Finished {
-            verdict: Verdict::Good,
+            outcome: AttemptOutcome::Good,
             first_token: Some(Duration::from_millis(200)),
             total: Duration::from_secs(5),
             tokens: 350,
@@ -138,7 +138,7 @@
             for i in 0..blocks {
                 store(&mut placer, i);
             }
-            kept = placer.believed_blocks();
+            kept = placer.tracked_blocks();
             placer
         });
         let each = total / kept.max(1) as f64;
--- a/dev/bench/src/bin/decision_cost.rs
+++ b/dev/bench/src/bin/decision_cost.rs
@@ -12,7 +12,7 @@
     ServiceKind, ServiceName, Time, UpstreamName, VersionName, Warmth, WorkspaceName, ZoneName,
 };
 use pimentotide_routing::{
-    CacheChange, CacheEvent, Finished, Placement, Placer, PlacerSettings, Verdict,
+    AttemptOutcome, CacheChange, CacheEvent, Finished, Placement, Placer, PlacerSettings,
 };
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -85,7 +85,7 @@
         };
         spilled += u32::from(decision.candidates.spilled());
         let done = Finished {
-            verdict: Verdict::Good,
+            outcome: AttemptOutcome::Good,
             first_token: Some(Duration::from_millis(80)),
             total: Duration::from_millis(700),
             tokens: 60,
--- a/dev/bench/src/fleet/chooser.rs
+++ b/dev/bench/src/fleet/chooser.rs
@@ -2,7 +2,9 @@
 
 use derive_more::Display;
 use pimentotide_model::{LoadReport, RequestMeta, Time, UpstreamName};
-use pimentotide_routing::{CreditId, Finished, Placement, Placer, PlacerSettings, Ticket, Verdict};
+use pimentotide_routing::{
+    AttemptOutcome, CreditId, Finished, Placement, Placer, PlacerSettings, Ticket,
+};
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 
@@ -135,7 +137,7 @@
             Some(ticket) => self.placer.finish(ticket, meta, done, now),
             None => self.own[engine] -= 1,
         }
-        if let Verdict::Refused(Some(report)) = &done.verdict {
+        if let AttemptOutcome::Refused(Some(report)) = &done.outcome {
             self.reports[engine] = *report;
         }
     }
--- a/dev/bench/src/fleet/world.rs
+++ b/dev/bench/src/fleet/world.rs
@@ -6,7 +6,7 @@
 
 use pimentotide_model::{AdminState, Declarations, LoadReport, Time, ZoneName};
 use pimentotide_routing::{
-    CacheChange, CreditId, Finished, GatePolicy, RetryBudget, Ticket, Verdict,
+    AttemptOutcome, CacheChange, CreditId, Finished, GatePolicy, RetryBudget, Ticket,
 };
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
@@ -189,7 +189,7 @@
                 credit,
             } => self.granted(engine, entry, credit),
             Event::GiveBack { engine, credit } => {
-                let grants = self.nodes[engine].gate.give_back(credit, self.now);
+                let grants = self.nodes[engine].gate.return_credit(credit, self.now);
                 self.send_grants(engine, grants);
             }
             Event::EntryTick { entry } => self.entry_tick(entry),
@@ -286,18 +286,18 @@
                 self.send(request, engine, ticket, Some(credit));
             }
             _ => {
-                self.entries[entry].queue.put_back(queued, self.now);
+                self.entries[entry].queue.requeue(queued, self.now);
                 self.after(delay(entry, engine), Event::GiveBack { engine, credit });
             }
         }
     }
 
     fn refused(&mut self, request: usize, report: LoadReport) {
-        self.finish(request, Verdict::Refused(Some(report)), 0, None);
+        self.finish(request, AttemptOutcome::Refused(Some(report)), 0, None);
         let flight = &mut self.flights[request];
         flight.refusals += 1;
         flight.tried.push(flight.engine);
-        if RetryBudget::may_replace(flight.refusals) {
+        if RetryBudget::may_reroute(flight.refusals) {
             self.choose(request);
         } else {
             self.flights[request].tried.clear();
@@ -319,7 +319,7 @@
 
     fn last(&mut self, request: usize, cached: u32) {
         let tokens = self.workload.requests[request].tokens;
-        self.finish(request, Verdict::Good, tokens, Some(cached));
+        self.finish(request, AttemptOutcome::Good, tokens, Some(cached));
         let offered = &self.workload.requests[request];
         let flight = &self.flights[request];
         let first = flight.first.unwrap_or(self.now);
@@ -338,11 +338,17 @@
         });
     }
 
-    fn finish(&mut self, request: usize, verdict: Verdict, tokens: u32, cached: Option<u32>) {
+    fn finish(
+        &mut self,
+        request: usize,
+        verdict: AttemptOutcome,
+        tokens: u32,
+        cached: Option<u32>,
+    ) {
         let offered = &self.workload.requests[request];
         let flight = &mut self.flights[request];
         let done = Finished {
-            verdict,
+            outcome: verdict,
             first_token: flight.first.map(|f| f.since(flight.sent)),
             total: self.now.since(flight.sent),
             tokens,
@@ -401,7 +407,7 @@
                 .admits(&announcement.zone, &announcement.upstream);
             let policy = GatePolicy::of(&self.declarations, &announcement);
             let gate = &mut self.nodes[engine].gate;
-            let grants = gate.declare(policy, self.settings.capacity, self.now);
+            let grants = gate.set_policy(policy, self.settings.capacity, self.now);
             self.send_grants(engine, grants);
             for entry in &mut self.entries {
                 entry.chooser.set_out(engine, out);
--- a/dev/scenario/src/world/agent.rs
+++ b/dev/scenario/src/world/agent.rs
@@ -139,7 +139,7 @@
             }
         }
         self.announce(node, now);
-        let drained = self.hosts[node].stopping && self.agents[&node].gate.drained();
+        let drained = self.hosts[node].stopping && self.agents[&node].gate.is_drained();
         if drained || self.hosts[node].stopping && self.bypasses(Guard::Drain) {
             self.exit(node);
         }
@@ -222,7 +222,7 @@
         }
         let now = self.local(node);
         if let Some(agent) = self.agents.get_mut(&node) {
-            agent.gate.leave();
+            agent.gate.drain();
             agent.announcement.leaving = true;
             agent
                 .announcer
@@ -247,7 +247,7 @@
         agent.revision = declarations.revision;
         let policy = GatePolicy::of(declarations, &agent.announcement);
         let capacity = agent.announcement.capacity;
-        let _ = agent.gate.declare(policy, capacity, now);
+        let _ = agent.gate.set_policy(policy, capacity, now);
     }
 
     /// A request arrives to be run.
--- a/dev/scenario/src/world/entry.rs
+++ b/dev/scenario/src/world/entry.rs
@@ -86,7 +86,7 @@
         for event in events {
             match event {
                 Event::Started(a) | Event::Changed(a) => entry.placer.announce(a),
-                Event::Gone(name) => entry.placer.forget(&name),
+                Event::Gone(name) => entry.placer.remove_upstream(&name),
             }
         }
     }
--- a/dev/scenario/src/world/flight.rs
+++ b/dev/scenario/src/world/flight.rs
@@ -10,7 +10,9 @@
     Assembly, BrokenStream, Command as Journaled, Crash, Progress, Reply, ResumePlan, Ticket,
     Verdict, Witness, plan_resume,
 };
-use pimentotide_routing::{Admission, Finished, Placement, Ticket as Booking, Verdict as Flown};
+use pimentotide_routing::{
+    Admission, AttemptOutcome as Flown, Finished, Placement, Ticket as Booking,
+};
 
 use super::call::Purpose;
 use super::engine::answer_to;
@@ -261,7 +263,7 @@
         let node = flight.entry;
         let now = self.hosts[node].clock.local(self.time);
         let done = Finished {
-            verdict,
+            outcome: verdict,
             first_token: Some(now.since(flight.sent)),
             total: now.since(flight.sent),
             tokens: flight.tokens.len() as u32,
--- a/dev/scenario/src/world/once.rs
+++ b/dev/scenario/src/world/once.rs
@@ -8,7 +8,7 @@
     Action, Answer, Attempt, Body, ClaimRef, Command as Journaled, Event, Finding, Intent, NotRun,
     Outcome, Place, Reply, generated_key,
 };
-use pimentotide_routing::{Finished, Placement, Ticket, Verdict};
+use pimentotide_routing::{AttemptOutcome, Finished, Placement, Ticket};
 
 use super::call::Purpose;
 use super::engine::answer_to;
@@ -253,9 +253,9 @@
         self.unbook_once(
             id,
             if good {
-                Verdict::Good
+                AttemptOutcome::Good
             } else {
-                Verdict::Cancelled
+                AttemptOutcome::Cancelled
             },
         );
         let event = match answer {
@@ -267,13 +267,13 @@
         self.once_event(id, event);
     }
 
-    fn unbook_once(&mut self, id: u64, verdict: Verdict) {
+    fn unbook_once(&mut self, id: u64, verdict: AttemptOutcome) {
         let Some(once) = self.onces.get_mut(&id) else {
             return;
         };
         let now = self.hosts[once.entry].clock.local(self.time);
         let done = Finished {
-            verdict,
+            outcome: verdict,
             first_token: None,
             total: Duration::from_millis(1),
             tokens: 0,
@@ -293,7 +293,7 @@
     }
 
     fn answer_once(&mut self, id: u64, answer: Answer) {
-        self.unbook_once(id, Verdict::Cancelled);
+        self.unbook_once(id, AttemptOutcome::Cancelled);
         let once = self.onces.get_mut(&id).expect("the attempt is there");
         once.answered = true;
         let (name, content) = (once.name.clone(), once.content.clone());
