--- a/decision/routing/src/gate/credit.rs
+++ b/decision/routing/src/gate/credit.rs
@@ -1,4 +1,4 @@
-//! Leased credits, and the demand of entries that they are granted for.
+//! Credits leased to entries, and the demands for which they are granted.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -10,26 +10,26 @@
 
 use super::share::Shares;
 
-/// Time for which a credit holds its place.
+/// Time for which a credit reserves its slot.
 const CREDIT_LEASE: Duration = Duration::from_millis(200);
-/// Time for which a demand stands unless it is repeated.
+/// Time after which a demand expires unless it is repeated.
 const DEMAND_LEASE: Duration = Duration::from_secs(1);
-/// Most demands kept of one entry.
+/// Largest number of demands kept per entry.
 const MAX_DEMANDS: usize = 32;
-/// Most entries whose demand is kept.
+/// Largest number of entries whose demands are kept.
 const MAX_ENTRIES: usize = 1_024;
 
-/// Identifier of a credit at the gate that granted it.
+/// Identifier of a credit, unique at the gate that granted it.
 #[derive(
     Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(transparent)]
 pub struct CreditId(pub u64);
 
-/// Requests of one workspace that wait in an entry.
+/// Requests of one workspace that are queued in an entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Demand {
-    /// Service that they ask.
+    /// Service that they request.
     pub service: ServiceName,
     /// Workspace on whose behalf they wait.
     pub workspace: WorkspaceName,
@@ -37,11 +37,11 @@
     pub priority: Priority,
     /// Time left until the first deadline among them.
     pub remaining: Duration,
-    /// How many wait.
+    /// Number of queued requests.
     pub count: u32,
 }
 
-/// All demands of one entry.
+/// All demands of one entry, one per service, workspace and priority.
 pub type EntryDemand = Vec<Demand>;
 
 /// A credit granted to an entry.
@@ -49,17 +49,17 @@
 pub struct Grant {
     /// Entry that may use it.
     pub entry: InstanceName,
-    /// Identifier to send along with the request.
+    /// Identifier to send with the request.
     pub credit: CreditId,
     /// Service that it was granted for.
     pub service: ServiceName,
-    /// Time for which it holds its place, from when it was granted.
+    /// Time for which it reserves its slot, from the grant.
     pub lease: Duration,
 }
 
-/// Demand that a place is granted for.
+/// Demand selected for the next free slot.
 #[derive(Clone, Debug)]
-pub(super) struct Best {
+pub(super) struct SelectedDemand {
     pub(super) entry: InstanceName,
     pub(super) service: ServiceName,
     pub(super) workspace: WorkspaceName,
@@ -67,42 +67,46 @@
 }
 
 #[derive(Debug)]
-struct Held {
+struct LeasedCredit {
     entry: InstanceName,
     service: ServiceName,
-    until: Time,
+    expires_at: Time,
 }
 
 #[derive(Debug)]
-struct Pending {
+struct PendingDemand {
     demand: Demand,
     deadline: Time,
-    until: Time,
+    expires_at: Time,
 }
 
-/// Credits out on lease and demands not yet met.
+/// Leased credits and unmet demands.
 #[derive(Debug, Default)]
 pub(super) struct Credits {
-    held: BTreeMap<CreditId, Held>,
-    pending: BTreeMap<InstanceName, Vec<Pending>>,
-    next: u64,
+    leased: BTreeMap<CreditId, LeasedCredit>,
+    pending: BTreeMap<InstanceName, Vec<PendingDemand>>,
+    next_id: u64,
 }
 
 impl Credits {
-    /// Credits out on lease.
+    /// Returns the number of leased credits.
     pub(super) fn len(&self) -> u32 {
-        u32::try_from(self.held.len()).unwrap_or(u32::MAX)
+        u32::try_from(self.leased.len()).unwrap_or(u32::MAX)
     }
 
-    /// Credits out on lease for `service`.
-    pub(super) fn held_for(&self, service: &ServiceName) -> u32 {
-        let count = self.held.values().filter(|h| h.service == *service).count();
+    /// Returns the number of credits leased for `service`.
+    pub(super) fn leased_for(&self, service: &ServiceName) -> u32 {
+        let count = self
+            .leased
+            .values()
+            .filter(|h| h.service == *service)
+            .count();
         u32::try_from(count).unwrap_or(u32::MAX)
     }
 
-    /// Withdraws all credits; demands stand.
+    /// Revokes all credits; demands remain.
     pub(super) fn clear(&mut self) {
-        self.held.clear();
+        self.leased.clear();
     }
 
     /// Replaces the demand of `entry`.
@@ -114,69 +118,69 @@
         let pending = demand
             .into_iter()
             .take(MAX_DEMANDS)
-            .map(|d| Pending {
+            .map(|d| PendingDemand {
                 deadline: now + d.remaining,
-                until: now + DEMAND_LEASE,
+                expires_at: now + DEMAND_LEASE,
                 demand: d,
             })
             .collect();
         self.pending.insert(entry.clone(), pending);
     }
 
-    /// Drops all that belongs to `entry`.
-    pub(super) fn forget(&mut self, entry: &InstanceName) {
+    /// Removes the credits and demands of `entry`.
+    pub(super) fn remove_entry(&mut self, entry: &InstanceName) {
         self.pending.remove(entry);
-        self.held.retain(|_, h| h.entry != *entry);
+        self.leased.retain(|_, h| h.entry != *entry);
     }
 
-    /// Takes a credit back.
-    pub(super) fn take(&mut self, credit: CreditId) {
-        self.held.remove(&credit);
+    /// Removes a credit that its entry returned.
+    pub(super) fn remove(&mut self, credit: CreditId) {
+        self.leased.remove(&credit);
     }
 
-    /// Uses a credit up, unless it lapsed or belongs to another entry.
+    /// Redeems a credit, unless it expired or belongs to another entry.
     pub(super) fn redeem(&mut self, credit: CreditId, entry: &InstanceName) {
-        let owned = self.held.get(&credit).is_some_and(|h| h.entry == *entry);
+        let owned = self.leased.get(&credit).is_some_and(|h| h.entry == *entry);
         if owned {
-            self.held.remove(&credit);
+            self.leased.remove(&credit);
         }
     }
 
-    /// Drops credits and demands whose lease has run out.
+    /// Removes expired credits and demands.
     pub(super) fn expire(&mut self, now: Time) {
-        self.held.retain(|_, h| h.until > now);
+        self.leased.retain(|_, h| h.expires_at > now);
         self.pending.retain(|_, list| {
-            list.retain(|p| p.until > now && p.deadline > now && p.demand.count > 0);
+            list.retain(|p| p.expires_at > now && p.deadline > now && p.demand.count > 0);
             !list.is_empty()
         });
     }
 
-    /// Withdraws the newest credits beyond `most`.
-    pub(super) fn trim(&mut self, most: u32) {
-        while self.len() > most {
-            self.held.pop_last();
+    /// Revokes the newest credits beyond `max`.
+    pub(super) fn trim(&mut self, max: u32) {
+        while self.len() > max {
+            self.leased.pop_last();
         }
     }
 
-    /// Time of the next lease to run out.
+    /// Returns the earliest expiry of a credit.
     pub(super) fn next_expiry(&self) -> Option<Time> {
-        self.held.values().map(|h| h.until).min()
+        self.leased.values().map(|h| h.expires_at).min()
     }
 
-    /// Picks the demand to serve next: priority, fair share, then deadline.
-    pub(super) fn best<F>(&self, shares: &Shares, open: F) -> Option<Best>
+    /// Selects the next demand to serve: by priority, fair share, then deadline.
+    pub(super) fn select<F>(&self, shares: &Shares, admissible: F) -> Option<SelectedDemand>
     where
         F: Fn(&ServiceName) -> bool,
     {
         self.pending
             .iter()
             .flat_map(|(entry, list)| list.iter().enumerate().map(move |(i, p)| (entry, i, p)))
-            .filter(|(_, _, p)| p.demand.count > 0 && open(&p.demand.service))
+            .filter(|(_, _, p)| p.demand.count > 0 && admissible(&p.demand.service))
             .min_by_key(|(entry, _, p)| {
                 let start = shares.start(&p.demand.workspace);
                 (Reverse(p.demand.priority), start, p.deadline, *entry)
             })
-            .map(|(entry, position, p)| Best {
+            .map(|(entry, position, p)| SelectedDemand {
                 entry: entry.clone(),
                 service: p.demand.service.clone(),
                 workspace: p.demand.workspace.clone(),
@@ -184,23 +188,23 @@
             })
     }
 
-    /// Leases a credit for the demand picked by [`Credits::best`].
-    pub(super) fn grant(&mut self, best: &Best, now: Time) -> Grant {
-        if let Some(list) = self.pending.get_mut(&best.entry) {
-            list[best.position].demand.count -= 1;
+    /// Leases a credit for the demand selected by [`Credits::select`].
+    pub(super) fn grant(&mut self, selected: &SelectedDemand, now: Time) -> Grant {
+        if let Some(list) = self.pending.get_mut(&selected.entry) {
+            list[selected.position].demand.count -= 1;
         }
-        self.next += 1;
-        let credit = CreditId(self.next);
-        let held = Held {
-            entry: best.entry.clone(),
-            service: best.service.clone(),
-            until: now + CREDIT_LEASE,
+        self.next_id += 1;
+        let credit = CreditId(self.next_id);
+        let leased = LeasedCredit {
+            entry: selected.entry.clone(),
+            service: selected.service.clone(),
+            expires_at: now + CREDIT_LEASE,
         };
-        self.held.insert(credit, held);
+        self.leased.insert(credit, leased);
         Grant {
-            entry: best.entry.clone(),
+            entry: selected.entry.clone(),
             credit,
-            service: best.service.clone(),
+            service: selected.service.clone(),
             lease: CREDIT_LEASE,
         }
     }
--- a/decision/routing/src/gate/mod.rs
+++ b/decision/routing/src/gate/mod.rs
@@ -1,10 +1,10 @@
-//! Admission gate of one upstream, the authority on how much runs there.
+//! Admission control of one upstream.
 //!
-//! A place is free when the allowance exceeds the requests running plus the
-//! credits out on lease. A request that arrives without a credit takes a free
-//! place; when there is none it is refused with a true "not run". Entries with
-//! queued requests state their demand, and each freed place is granted to the
-//! best demand as a leased credit. A credit that lapses returns its place.
+//! A slot is free while the allowance exceeds the running requests plus the
+//! leased credits. A request without a credit takes a free slot or is refused
+//! without having run. Entries with queued requests report their demand, and
+//! each freed slot is leased to the first demand in order as a credit. A credit
+//! that expires frees its slot.
 //!
 //! Work of an earlier incarnation counts until it completes, because a request
 //! admitted just before a restart may reach the new process.
@@ -32,31 +32,31 @@
 pub use warmup::{HealthSignal, Warmup};
 
 /// Weight of the latest sample in smoothed times.
-const SMOOTHING: f64 = 0.2;
-/// The allowance is in use when one part in this many is.
-const FULL_PART: u32 = 2;
-/// First tokens that have to be overdue at once to count as a sign.
-const OVERDUE_COUNT: usize = 2;
+const SMOOTHING_FACTOR: f64 = 0.2;
+/// The allowance counts as in use when at least one in this many slots is taken.
+const IN_USE_DIVISOR: u32 = 2;
+/// First tokens that have to be overdue at once to lower the allowance.
+const MIN_OVERDUE: usize = 2;
 
-/// What a gate knows of its upstream when it opens.
+/// Initial state of a gate.
 #[derive(Clone, Debug, PartialEq)]
 pub struct GateSettings {
-    /// Start of the upstream's process.
+    /// Incarnation of the upstream's process.
     pub incarnation: Incarnation,
-    /// Most requests at once when warm.
+    /// Largest number of concurrent requests when warm.
     pub capacity: u32,
     /// Policy in force.
     pub policy: GatePolicy,
 }
 
-/// What an entry says of a request that it wants to run.
+/// Request for admission, as an entry sends it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Admission {
-    /// Entry that asks.
+    /// Entry that sends the request.
     pub entry: InstanceName,
-    /// Request to run.
+    /// Identifier of the request.
     pub request: RequestId,
-    /// Service that is asked.
+    /// Requested service.
     pub service: ServiceName,
     /// Workspace on whose behalf it runs.
     pub workspace: WorkspaceName,
@@ -64,28 +64,28 @@
     pub priority: Priority,
     /// Time left until its deadline.
     pub remaining: Duration,
-    /// Configuration that the entry has in force.
+    /// Configuration revision in force at the entry.
     pub revision: Revision,
-    /// Credit that the entry wants to use.
+    /// Credit to redeem, if the entry holds one.
     pub credit: Option<CreditId>,
 }
 
-/// Right to run one request; given back by [`Gate::complete`].
+/// Right to run one request; returned to [`Gate::complete`].
 #[derive(Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[display("{id}")]
-#[must_use = "a permit holds its place until it is completed"]
+#[must_use = "a permit occupies its slot until it is completed"]
 pub struct Permit {
     id: u64,
     incarnation: Incarnation,
 }
 
 impl Permit {
-    /// Start of the upstream that admitted the request.
+    /// Returns the incarnation of the upstream that admitted the request.
     pub const fn incarnation(&self) -> Incarnation {
         self.incarnation
     }
 
-    /// Gives the permit up.
+    /// Consumes the permit.
     fn into_parts(self) -> (u64, Incarnation) {
         (self.id, self.incarnation)
     }
@@ -94,16 +94,16 @@
 /// Refusal of a request that did not run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Refusal {
-    /// Why.
+    /// Reason of the refusal.
     pub kind: ErrorKind,
-    /// Load at the moment of the refusal.
+    /// Load at the time of the refusal.
     pub report: LoadReport,
 }
 
 /// How the work under a permit ended.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
-    /// Answered in full.
+    /// Answered completely.
     Good,
     /// Cancelled by the caller or the entry.
     Cancelled,
@@ -115,23 +115,23 @@
     Failed,
 }
 
-/// A completion as the agent saw it.
+/// Completion of a permit, as the agent observed it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Completed {
-    /// How it ended.
+    /// How the work ended.
     pub outcome: Outcome,
-    /// Time from admission to the first token; none if there was none.
+    /// Time from admission to the first token; `None` if none was produced.
     pub first_token: Option<Duration>,
-    /// Mean time between tokens; none for plain services.
+    /// Mean time between tokens; `None` for plain services.
     pub token_gap: Option<Duration>,
 }
 
-/// One request that runs.
+/// One running request.
 #[derive(Clone, Debug)]
 struct Running {
     service: ServiceName,
-    since: Time,
-    started: bool,
+    admitted_at: Time,
+    first_token: bool,
 }
 
 /// Admission gate of one upstream.
@@ -139,54 +139,55 @@
 pub struct Gate {
     incarnation: Incarnation,
     policy: GatePolicy,
-    material: Revision,
+    rules_revision: Revision,
     warmup: Warmup,
     running: BTreeMap<u64, Running>,
-    busy: BTreeMap<ServiceName, u32>,
+    per_service: BTreeMap<ServiceName, u32>,
     credits: Credits,
     shares: Shares,
-    current: Time,
-    leaving: bool,
+    lease_expiry: Time,
+    draining: bool,
     waiting: u32,
-    next: u64,
+    next_id: u64,
     sequence: u64,
     first_token: f64,
     token_gap: f64,
 }
 
 impl Gate {
-    /// Opens a gate that refuses until its currency lease is first renewed.
+    /// Creates a gate that refuses requests until its configuration lease is first renewed.
     pub fn open(settings: GateSettings, now: Time) -> Self {
         let start = settings.policy.slow_start.clone();
         let limit = settings.policy.limit(settings.capacity);
         Self {
             incarnation: settings.incarnation,
-            material: settings.policy.revision,
+            rules_revision: settings.policy.revision,
             policy: settings.policy,
             warmup: Warmup::open(start, limit, now),
             running: BTreeMap::new(),
-            busy: BTreeMap::new(),
+            per_service: BTreeMap::new(),
             credits: Credits::default(),
             shares: Shares::default(),
-            current: Time::ZERO,
-            leaving: false,
+            lease_expiry: Time::ZERO,
+            draining: false,
             waiting: 0,
-            next: 0,
+            next_id: 0,
             sequence: 0,
             first_token: 0.0,
             token_gap: 0.0,
         }
     }
 
-    /// Puts a policy in force; an older one than that in force is ignored.
+    /// Applies a policy, unless the current one is newer.
     ///
-    /// An upstream that was out starts over, because its caches may be cold.
+    /// An upstream that returns to service restarts slow start, because its
+    /// caches may be cold.
     pub fn set_policy(&mut self, policy: GatePolicy, capacity: u32, now: Time) -> Vec<Grant> {
         if policy.revision < self.policy.revision {
             return Vec::new();
         }
         if !policy.same_rules(&self.policy) {
-            self.material = policy.revision;
+            self.rules_revision = policy.revision;
         }
         self.warmup
             .resize(policy.slow_start.clone(), policy.limit(capacity));
@@ -196,27 +197,27 @@
             (AdminState::In, AdminState::In) => {}
         }
         self.policy = policy;
-        self.settle(now)
+        self.grant_free(now)
     }
 
-    /// Extends the lease on being current until `until`.
+    /// Extends the configuration lease to `until`.
     pub fn renew(&mut self, until: Time) {
-        self.current = self.current.max(until);
+        self.lease_expiry = self.lease_expiry.max(until);
     }
 
-    /// Takes no new work from now on; what runs goes on.
+    /// Refuses new work from now on; running requests complete.
     pub fn drain(&mut self) {
-        self.leaving = true;
+        self.draining = true;
         self.credits.clear();
     }
 
-    /// Takes new work again after [`Gate::drain`], from the initial allowance.
+    /// Accepts new work again after [`Gate::drain`], from the initial allowance.
     pub fn resume(&mut self, now: Time) {
-        self.leaving = false;
+        self.draining = false;
         self.warmup.restart(now);
     }
 
-    /// Starts over from the initial allowance under a new incarnation.
+    /// Restarts slow start for a newer incarnation.
     pub fn restart(&mut self, incarnation: Incarnation, now: Time) {
         if incarnation <= self.incarnation {
             return;
@@ -227,23 +228,28 @@
         self.warmup.restart(now);
     }
 
-    /// Notes how many requests wait inside the engine.
+    /// Records the number of requests queued inside the engine.
     pub fn observe_waiting(&mut self, waiting: u32) {
         self.waiting = waiting;
     }
 
-    /// Lowers the allowance at a sign of coldness or overload.
-    pub fn observe(&mut self, sign: HealthSignal, now: Time) {
-        self.warmup.observe(sign, now);
-        self.credits.trim(self.spare_for_credits());
+    /// Lowers the allowance on a signal of a cold, overloaded or failing upstream.
+    pub fn observe(&mut self, signal: HealthSignal, now: Time) {
+        self.warmup.observe(signal, now);
+        self.credits.trim(self.credit_room());
     }
 
-    /// Admits a request or refuses it as "not run".
-    pub fn admit(&mut self, ask: &Admission, now: Time) -> Result<Permit, Refusal> {
+    /// Admits a request.
+    ///
+    /// # Errors
+    ///
+    /// Fails without running the request if the upstream is draining or out of service,
+    /// the lease or `revision` is stale, the deadline has passed or no slot is free.
+    pub fn admit(&mut self, request: &Admission, now: Time) -> Result<Permit, Refusal> {
         self.credits.expire(now);
         self.warmup.advance(now);
-        match self.check(ask, now) {
-            Ok(()) => Ok(self.enter(ask, now)),
+        match self.check(request, now) {
+            Ok(()) => Ok(self.start(request, now)),
             Err(kind) => Err(Refusal {
                 kind,
                 report: self.report(),
@@ -251,72 +257,72 @@
         }
     }
 
-    /// Notes that the first token of a request has arrived.
+    /// Records the first token of a request; later calls have no effect.
     pub fn first_token(&mut self, permit: &Permit, now: Time) {
         let Some(run) = self.running.get_mut(&permit.id) else {
             return;
         };
-        if run.started {
+        if run.first_token {
             return;
         }
-        run.started = true;
-        let taken = now.since(run.since);
+        run.first_token = true;
+        let taken = now.since(run.admitted_at);
         if permit.incarnation == self.incarnation {
-            self.warmup.first_token(taken, now);
-            self.credits.trim(self.spare_for_credits());
+            self.warmup.record_first_token(taken, now);
+            self.credits.trim(self.credit_room());
         }
     }
 
-    /// Gives a place back and grants what became free.
+    /// Frees the slot of a permit and grants the free slots.
     pub fn complete(&mut self, permit: Permit, done: Completed, now: Time) -> Vec<Grant> {
-        let full = self.used() * FULL_PART >= self.warmup.allowance();
+        let full = self.used() * IN_USE_DIVISOR >= self.warmup.allowance();
         let (id, incarnation) = permit.into_parts();
         let Some(run) = self.running.remove(&id) else {
             return Vec::new();
         };
-        if let Some(count) = self.busy.get_mut(&run.service) {
+        if let Some(count) = self.per_service.get_mut(&run.service) {
             *count -= 1;
         }
         if incarnation == self.incarnation {
-            self.learn(&run, done, full, now);
+            self.record_outcome(&run, done, full, now);
         }
-        self.settle(now)
+        self.grant_free(now)
     }
 
-    /// Replaces what an entry demands; an empty demand withdraws it.
+    /// Replaces the demand of an entry; an empty one removes it.
     pub fn demand(&mut self, entry: &InstanceName, demand: EntryDemand, now: Time) -> Vec<Grant> {
         self.credits.demand(entry, demand, now);
-        self.settle(now)
+        self.grant_free(now)
     }
 
-    /// Takes back a credit that its entry has no use for.
+    /// Frees the slot of a credit that its entry does not need.
     pub fn return_credit(&mut self, credit: CreditId, now: Time) -> Vec<Grant> {
-        self.credits.take(credit);
-        self.settle(now)
+        self.credits.remove(credit);
+        self.grant_free(now)
     }
 
-    /// Drops the credits and the demand of an entry that is gone.
+    /// Removes the credits and the demand of an entry that is no longer present.
     pub fn remove_entry(&mut self, entry: &InstanceName, now: Time) -> Vec<Grant> {
-        self.credits.forget(entry);
-        self.settle(now)
+        self.credits.remove_entry(entry);
+        self.grant_free(now)
     }
 
-    /// Expires leases, notices overdue first tokens and grants what is free.
+    /// Expires leases, checks for overdue first tokens and grants the free slots.
     pub fn tick(&mut self, now: Time) -> Vec<Grant> {
         let mut overdue: Vec<Duration> = self
             .running
             .values()
-            .filter(|r| !r.started)
-            .map(|r| now.since(r.since))
+            .filter(|r| !r.first_token)
+            .map(|r| now.since(r.admitted_at))
             .collect();
         overdue.sort_unstable_by(|a, b| b.cmp(a));
-        if let Some(elapsed) = overdue.get(OVERDUE_COUNT - 1) {
-            self.warmup.overdue(*elapsed, now);
+        if let Some(elapsed) = overdue.get(MIN_OVERDUE - 1) {
+            self.warmup.record_overdue(*elapsed, now);
         }
-        self.settle(now)
+        self.grant_free(now)
     }
 
-    /// Writes the next load report; credits count as running.
+    /// Builds the next load report; leased credits count as running.
     pub fn report(&mut self) -> LoadReport {
         self.sequence += 1;
         LoadReport {
@@ -331,50 +337,50 @@
         }
     }
 
-    /// Requests that run now.
+    /// Returns the number of running requests.
     pub fn running(&self) -> u32 {
         u32::try_from(self.running.len()).unwrap_or(u32::MAX)
     }
 
-    /// Requests that may run at once for now.
+    /// Returns the number of requests that may currently run at once.
     pub fn allowance(&self) -> u32 {
         self.warmup.allowance()
     }
 
-    /// Whether the last work has ended after [`Gate::drain`].
+    /// Returns whether the gate is draining and no request is running.
     pub fn is_drained(&self) -> bool {
-        self.leaving && self.running.is_empty()
+        self.draining && self.running.is_empty()
     }
 
-    /// Time of the next lease to run out.
+    /// Returns the earliest expiry of a leased credit.
     pub fn next_expiry(&self) -> Option<Time> {
         self.credits.next_expiry()
     }
 
-    /// Places taken, by requests or by credits.
+    /// Returns the slots taken by requests and credits.
     fn used(&self) -> u32 {
         self.running() + self.credits.len()
     }
 
-    /// Places that credits may hold beside what runs.
-    fn spare_for_credits(&self) -> u32 {
+    /// Returns the slots that credits may hold beside the running requests.
+    fn credit_room(&self) -> u32 {
         self.warmup.allowance().saturating_sub(self.running())
     }
 
     /// Checks standing, leases, limits and room, in that order.
-    fn check(&mut self, ask: &Admission, now: Time) -> Result<(), ErrorKind> {
-        self.check_standing(now, self.policy.lapse_of(&ask.service))?;
-        if ask.revision < self.material {
+    fn check(&mut self, request: &Admission, now: Time) -> Result<(), ErrorKind> {
+        self.check_standing(now, self.policy.lapse_of(&request.service))?;
+        if request.revision < self.rules_revision {
             return Err(ErrorKind::StaleRevision);
         }
-        if ask.remaining.is_zero() {
+        if request.remaining.is_zero() {
             return Err(ErrorKind::Overloaded);
         }
-        if !self.service_room(&ask.service) {
+        if !self.service_has_room(&request.service) {
             return Err(ErrorKind::Overloaded);
         }
-        if let Some(credit) = ask.credit {
-            self.credits.redeem(credit, &ask.entry);
+        if let Some(credit) = request.credit {
+            self.credits.redeem(credit, &request.entry);
         }
         if self.used() < self.warmup.allowance() {
             return Ok(());
@@ -382,48 +388,48 @@
         Err(ErrorKind::Overloaded)
     }
 
-    fn check_standing(&self, now: Time, lapse: LeaseExpiryPolicy) -> Result<(), ErrorKind> {
-        if self.leaving {
+    fn check_standing(&self, now: Time, lapse: LapsePolicy) -> Result<(), ErrorKind> {
+        if self.draining {
             return Err(ErrorKind::Stopping);
         }
         if self.policy.standing == AdminState::Out {
             return Err(ErrorKind::OutOfService);
         }
-        if now > self.current && lapse == LeaseExpiryPolicy::Refuse {
+        if now > self.lease_expiry && lapse == LapsePolicy::Refuse {
             return Err(ErrorKind::NotCurrent);
         }
         Ok(())
     }
 
-    fn service_room(&self, service: &ServiceName) -> bool {
-        let busy = self.busy.get(service).copied().unwrap_or(0);
+    fn service_has_room(&self, service: &ServiceName) -> bool {
+        let running = self.per_service.get(service).copied().unwrap_or(0);
         self.policy
             .concurrency_of(service)
-            .is_none_or(|most| busy < most)
+            .is_none_or(|max| running < max)
     }
 
-    fn enter(&mut self, ask: &Admission, now: Time) -> Permit {
-        let weight = self.policy.weight_of(&ask.service, &ask.workspace);
-        if ask.credit.is_none() {
-            self.shares.charge(&ask.workspace, weight);
+    fn start(&mut self, request: &Admission, now: Time) -> Permit {
+        let weight = self.policy.weight_of(&request.service, &request.workspace);
+        if request.credit.is_none() {
+            self.shares.charge(&request.workspace, weight);
         }
-        self.next += 1;
+        self.next_id += 1;
         let run = Running {
-            service: ask.service.clone(),
-            since: now,
-            started: false,
+            service: request.service.clone(),
+            admitted_at: now,
+            first_token: false,
         };
-        self.running.insert(self.next, run);
-        *self.busy.entry(ask.service.clone()).or_default() += 1;
+        self.running.insert(self.next_id, run);
+        *self.per_service.entry(request.service.clone()).or_default() += 1;
         Permit {
-            id: self.next,
+            id: self.next_id,
             incarnation: self.incarnation,
         }
     }
 
-    fn learn(&mut self, run: &Running, done: Completed, full: bool, now: Time) {
+    fn record_outcome(&mut self, run: &Running, done: Completed, full: bool, now: Time) {
         match done.outcome {
-            Outcome::Good => self.learn_good(run, done, full, now),
+            Outcome::Good => self.record_success(run, done, full, now),
             Outcome::Overloaded => self.warmup.observe(HealthSignal::Overload, now),
             Outcome::Cold => self.warmup.observe(HealthSignal::Cold, now),
             Outcome::Failed => self.warmup.observe(HealthSignal::Failure, now),
@@ -431,25 +437,25 @@
         }
     }
 
-    fn learn_good(&mut self, run: &Running, done: Completed, full: bool, now: Time) {
+    fn record_success(&mut self, run: &Running, done: Completed, full: bool, now: Time) {
         if let Some(taken) = done.first_token {
             smooth(&mut self.first_token, taken);
-            if !run.started {
-                self.warmup.first_token(taken, now);
+            if !run.first_token {
+                self.warmup.record_first_token(taken, now);
             }
         }
         if let Some(gap) = done.token_gap {
             smooth(&mut self.token_gap, gap);
         }
-        self.warmup.completed(done.first_token, full, now);
+        self.warmup.record_completion(done.first_token, full, now);
     }
 
-    /// Expires leases, keeps credits within the allowance and grants free places.
-    fn settle(&mut self, now: Time) -> Vec<Grant> {
+    /// Expires leases, trims credits to the allowance and grants the free slots.
+    fn grant_free(&mut self, now: Time) -> Vec<Grant> {
         self.credits.expire(now);
         self.warmup.advance(now);
-        self.credits.trim(self.spare_for_credits());
-        if self.leaving || self.policy.standing == AdminState::Out {
+        self.credits.trim(self.credit_room());
+        if self.draining || self.policy.standing == Standing::Out {
             return Vec::new();
         }
         let mut grants = Vec::new();
@@ -462,32 +468,32 @@
         grants
     }
 
-    /// Grants one place to the best demand whose service has room.
+    /// Grants one slot to the first demand in order whose service has room.
     fn grant(&mut self, now: Time) -> Option<Grant> {
-        let lapsed = now > self.current;
-        let open = |service: &ServiceName| {
-            let refuse = lapsed && self.policy.lapse_of(service) == LeaseExpiryPolicy::Refuse;
-            let busy = self.busy.get(service).copied().unwrap_or(0);
-            let held = self.credits.held_for(service);
+        let lapsed = now > self.lease_expiry;
+        let admissible = |service: &ServiceName| {
+            let refuse = lapsed && self.policy.lapse_of(service) == LapsePolicy::Refuse;
+            let running = self.per_service.get(service).copied().unwrap_or(0);
+            let leased = self.credits.leased_for(service);
             let room = self
                 .policy
                 .concurrency_of(service)
-                .is_none_or(|most| busy + held < most);
+                .is_none_or(|max| running + leased < max);
             room && !refuse
         };
-        let best = self.credits.best(&self.shares, open)?;
-        let weight = self.policy.weight_of(&best.service, &best.workspace);
-        self.shares.charge(&best.workspace, weight);
-        Some(self.credits.grant(&best, now))
+        let demand = self.credits.select(&self.shares, admissible)?;
+        let weight = self.policy.weight_of(&demand.service, &demand.workspace);
+        self.shares.charge(&demand.workspace, weight);
+        Some(self.credits.grant(&demand, now))
     }
 }
 
-/// Moves a smoothed time in microseconds towards a sample.
+/// Updates an exponentially smoothed time, in microseconds.
 fn smooth(value: &mut f64, sample: Duration) {
     let sample = sample.as_micros() as f64;
     if *value == 0.0 {
         *value = sample;
     } else {
-        *value += SMOOTHING * (sample - *value);
+        *value += SMOOTHING_FACTOR * (sample - *value);
     }
 }
--- a/decision/routing/src/gate/policy.rs
+++ b/decision/routing/src/gate/policy.rs
@@ -1,4 +1,4 @@
-//! What declarations say about one upstream, as its gate needs it.
+//! Admission rules of one upstream, derived from the declarations.
 
 use std::collections::BTreeMap;
 
@@ -10,29 +10,29 @@
 /// Limits of one service on one upstream.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ServiceLimit {
-    /// Requests at once; the upstream's capacity if none.
+    /// Largest number of concurrent requests; `None` means the upstream's capacity.
     pub concurrency: Option<u32>,
-    /// What happens once the currency lease has run out.
-    pub lapse: LeaseExpiryPolicy,
-    /// Weight of each workspace; 1 where not named.
+    /// Whether requests are admitted after the configuration lease expires.
+    pub lapse: LapsePolicy,
+    /// Weight of each workspace; 1 if not listed.
     pub shares: BTreeMap<WorkspaceName, u32>,
 }
 
-/// Rules that a gate applies.
+/// Admission rules of a gate.
 #[derive(Clone, Debug, PartialEq)]
 pub struct GatePolicy {
-    /// Configuration that the rules come from.
+    /// Revision of the declarations that the rules come from.
     pub revision: Revision,
     /// Whether operators have the upstream and its zone in service.
-    pub standing: AdminState,
-    /// Most careful slow start of the services that it serves.
+    pub standing: Standing,
+    /// Most conservative slow start among the services of the upstream.
     pub slow_start: SlowStart,
-    /// Limits by service.
+    /// Limits by service, for the services of the upstream.
     pub services: BTreeMap<ServiceName, ServiceLimit>,
 }
 
 impl GatePolicy {
-    /// Reads the rules for the announced upstream from `declarations`.
+    /// Derives the rules for the announced upstream from `declarations`.
     pub fn of(declarations: &Declarations, announcement: &Announcement) -> Self {
         let admitted = declarations.admits(&announcement.zone, &announcement.upstream);
         let mut policy = Self {
@@ -45,7 +45,7 @@
             slow_start: Profile::default().slow_start,
             services: BTreeMap::new(),
         };
-        let mut careful: Option<SlowStart> = None;
+        let mut slow_start: Option<SlowStart> = None;
         for service in declarations.services.values() {
             let Some(profile) = declarations.profiles.get(&service.profile) else {
                 continue;
@@ -53,18 +53,18 @@
             if !serves(announcement, service, profile) {
                 continue;
             }
-            careful = Some(most_careful(careful, &profile.slow_start));
+            slow_start = Some(most_conservative(slow_start, &profile.slow_start));
             policy
                 .services
-                .insert(service.name.clone(), limit_of(profile));
+                .insert(service.name.clone(), service_limit(profile));
         }
-        if let Some(start) = careful {
+        if let Some(start) = slow_start {
             policy.slow_start = start;
         }
         policy
     }
 
-    /// Full limit of an upstream that can run `capacity` requests at once.
+    /// Returns the concurrency limit of a warm upstream of `capacity` requests.
     pub fn limit(&self, capacity: u32) -> u32 {
         let unbounded =
             self.services.is_empty() || self.services.values().any(|s| s.concurrency.is_none());
@@ -79,7 +79,7 @@
         capacity.min(sum)
     }
 
-    /// Whether admission follows the same rules under both policies.
+    /// Returns whether both policies admit the same requests.
     pub fn same_rules(&self, other: &Self) -> bool {
         self.standing == other.standing && self.services == other.services
     }
@@ -104,7 +104,7 @@
     }
 }
 
-/// Whether the announced upstream can serve `service` under `profile`.
+/// Returns whether the announced upstream can serve `service` under `profile`.
 pub(crate) fn serves(announcement: &Announcement, service: &Service, profile: &Profile) -> bool {
     if announcement.kind != service.kind {
         return false;
@@ -118,7 +118,7 @@
     }
 }
 
-fn limit_of(profile: &Profile) -> ServiceLimit {
+fn service_limit(profile: &Profile) -> ServiceLimit {
     ServiceLimit {
         concurrency: profile.concurrency,
         lapse: profile.lapse,
@@ -126,7 +126,7 @@
     }
 }
 
-fn most_careful(before: Option<SlowStart>, next: &SlowStart) -> SlowStart {
+fn most_conservative(before: Option<SlowStart>, next: &SlowStart) -> SlowStart {
     let Some(before) = before else {
         return next.clone();
     };
--- a/decision/routing/src/gate/warmup.rs
+++ b/decision/routing/src/gate/warmup.rs
@@ -1,73 +1,73 @@
-//! Allowance of an upstream that grows with good completions.
+//! Slow start: the concurrency allowance of an upstream.
 //!
-//! After a start the allowance begins at its initial value. Each round of good
-//! completions at the allowance raises it by one, and a ramp over the least
-//! warm-up time bounds it, so neither time nor completions alone fill an
-//! upstream. Coldness starts it over; overload halves it.
+//! The allowance starts at its initial value. Each round of successful
+//! completions while it is in use raises it by one, bounded by a linear ramp
+//! over the minimum warm-up time, so that it grows only with both time and
+//! completions. A cold upstream restarts it; overload halves it.
 
 use std::time::Duration;
 
 use pimentotide_model::{SlowStart, Time, Warmth};
 
-/// First-token time, relative to the usual bound, that is a sign of coldness.
-const COLD_FACTOR: f64 = 3.0;
-/// First-token times below this are never a sign of coldness.
-const COLD_FLOOR: Duration = Duration::from_millis(250);
-/// Slow first tokens in a row that start the allowance over.
+/// First-token time, as a multiple of the baseline, above which an upstream counts as cold.
+const COLD_RATIO: f64 = 3.0;
+/// First-token times up to this never count as cold.
+const MIN_COLD_TIME: Duration = Duration::from_millis(250);
+/// Consecutive slow first tokens that restart the allowance.
 const COLD_STREAK: u32 = 2;
-/// First tokens needed before the usual bound is known.
-const USUAL_SAMPLES: u32 = 8;
-/// Share of first tokens that come later than the usual bound.
-const USUAL_EXCESS: f64 = 0.1;
-/// Step by which the usual bound follows the samples.
-const USUAL_STEP: f64 = 0.1;
+/// First tokens needed before the baseline is used.
+const BASELINE_SAMPLES: u32 = 8;
+/// Share of first tokens above the baseline, which is thus their 90th percentile.
+const BASELINE_EXCESS_RATIO: f64 = 0.1;
+/// Relative step by which a sample moves the baseline.
+const BASELINE_STEP: f64 = 0.1;
 /// Shortest time between two reductions for overload.
-const HALVING_PAUSE: Duration = Duration::from_millis(500);
-/// Failures in a row that count as overload.
+const MIN_HALVING_INTERVAL: Duration = Duration::from_millis(500);
+/// Consecutive failures that count as overload.
 const FAILURE_STREAK: u32 = 3;
 
-/// Sign that an upstream bears less than its allowance.
+/// Signal that an upstream can handle less than its allowance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HealthSignal {
-    /// The engine says or shows that it is cold.
+    /// The engine reported that it is cold, or behaves so.
     Cold,
-    /// The engine says or shows that it is overloaded.
+    /// The engine reported that it is overloaded, or behaves so.
     Overload,
     /// A request failed.
     Failure,
 }
 
-/// Allowance of one upstream.
+/// Concurrency allowance of one upstream under slow start.
 #[derive(Clone, Debug)]
 pub struct Warmup {
     start: SlowStart,
     limit: u32,
     allowance: u32,
-    good: u32,
-    since: Time,
+    successes: u32,
+    started_at: Time,
     now: Time,
-    halved: Option<Time>,
-    usual: f64,
+    halved_at: Option<Time>,
+    baseline: f64,
     samples: u32,
-    slow: u32,
-    failures: u32,
+    slow_streak: u32,
+    failure_streak: u32,
 }
 
 impl Warmup {
-    /// Opens at the initial allowance.
+    /// Creates the state with the initial allowance.
     pub fn open(start: SlowStart, limit: u32, now: Time) -> Self {
         let mut warmup = Self {
             start,
             limit,
             allowance: 0,
-            good: 0,
-            since: now,
+            successes: 0,
+            started_at: now,
             now,
-            halved: None,
-            usual: 0.0,
+            halved_at: None,
+            baseline: 0.0,
             samples: 0,
-            slow: 0,
-            failures: 0,
+            slow_streak: 0,
+            failure_streak: 0,
         };
         warmup.restart(now);
         warmup
@@ -90,81 +90,81 @@
         }
     }
 
-    /// Starts over from the initial allowance.
+    /// Restarts from the initial allowance.
     pub fn restart(&mut self, now: Time) {
         self.now = self.now.max(now);
-        self.since = self.now;
+        self.started_at = self.now;
         self.allowance = self.initial();
-        self.good = 0;
-        self.slow = 0;
-        self.failures = 0;
+        self.successes = 0;
+        self.slow_streak = 0;
+        self.failure_streak = 0;
     }
 
-    /// Puts other limits in force.
+    /// Replaces the slow start and the limit; the allowance stays within them.
     pub fn resize(&mut self, start: SlowStart, limit: u32) {
         self.start = start;
         self.limit = limit;
         self.allowance = self.allowance.min(limit).max(self.initial());
     }
 
-    /// Moves the ramp on.
+    /// Advances the ramp to `now`.
     pub fn advance(&mut self, now: Time) {
         self.now = self.now.max(now);
     }
 
-    /// Lowers the allowance at a sign of trouble.
-    pub fn observe(&mut self, sign: HealthSignal, now: Time) {
+    /// Lowers the allowance on a signal.
+    pub fn observe(&mut self, signal: HealthSignal, now: Time) {
         self.advance(now);
-        match sign {
+        match signal {
             HealthSignal::Cold => self.restart(now),
             HealthSignal::Overload => self.halve(),
             HealthSignal::Failure => {
-                self.failures += 1;
-                if self.failures >= FAILURE_STREAK {
-                    self.failures = 0;
+                self.failure_streak += 1;
+                if self.failure_streak >= FAILURE_STREAK {
+                    self.failure_streak = 0;
                     self.halve();
                 }
             }
         }
     }
 
-    /// Judges the time of a first token.
-    pub fn first_token(&mut self, taken: Duration, now: Time) {
+    /// Records the time to a first token; a slow one lowers the allowance.
+    pub fn record_first_token(&mut self, taken: Duration, now: Time) {
         self.advance(now);
         let slow = self.is_slow(taken);
-        self.learn(taken);
+        self.update_baseline(taken);
         if slow {
-            self.slow += 1;
-            if self.slow >= COLD_STREAK {
+            self.slow_streak += 1;
+            if self.slow_streak >= COLD_STREAK {
                 self.restart(now);
             } else {
                 self.halve();
             }
             return;
         }
-        self.slow = 0;
+        self.slow_streak = 0;
     }
 
-    /// Takes a first token that is overdue by now as a sign of coldness.
-    pub fn overdue(&mut self, elapsed: Duration, now: Time) {
+    /// Halves the allowance if a first token outstanding for `elapsed` is overdue.
+    pub fn record_overdue(&mut self, elapsed: Duration, now: Time) {
         self.advance(now);
         if self.is_slow(elapsed) {
             self.halve();
         }
     }
 
-    /// Counts a good completion; `full` says that the allowance was in use.
-    pub fn completed(&mut self, first_token: Option<Duration>, full: bool, now: Time) {
+    /// Records a successful completion; `full` means that the allowance was in use.
+    pub fn record_completion(&mut self, first_token: Option<Duration>, full: bool, now: Time) {
         self.advance(now);
-        self.failures = 0;
+        self.failure_streak = 0;
         let slow = first_token.is_some_and(|t| self.is_slow(t));
         let ahead = self.allowance > self.ramp();
         if slow || !full || ahead || self.allowance >= self.limit {
             return;
         }
-        self.good += 1;
-        if self.good >= self.start.completions {
-            self.good = 0;
+        self.successes += 1;
+        if self.successes >= self.start.completions {
+            self.successes = 0;
             self.allowance += 1;
         }
     }
@@ -173,10 +173,10 @@
         self.start.initial.max(1).min(self.limit)
     }
 
-    /// Most that the time since the start allows.
+    /// Returns the bound on the allowance by the time since the start.
     fn ramp(&self) -> u32 {
         let initial = self.initial();
-        let elapsed = self.now.since(self.since);
+        let elapsed = self.now.since(self.started_at);
         if elapsed >= self.start.least {
             return self.limit;
         }
@@ -186,32 +186,34 @@
     }
 
     fn halve(&mut self) {
-        let paused = self
-            .halved
-            .is_some_and(|at| self.now.since(at) < HALVING_PAUSE);
-        if paused {
+        let throttled = self
+            .halved_at
+            .is_some_and(|at| self.now.since(at) < MIN_HALVING_INTERVAL);
+        if throttled {
             return;
         }
-        self.halved = Some(self.now);
-        self.good = 0;
+        self.halved_at = Some(self.now);
+        self.successes = 0;
         self.allowance = (self.allowance() / 2).max(self.initial());
     }
 
-    /// Follows the bound that a tenth of the first tokens exceeds.
-    fn learn(&mut self, taken: Duration) {
+    /// Moves the baseline towards the 90th percentile of first-token times.
+    fn update_baseline(&mut self, taken: Duration) {
         let sample = taken.as_micros() as f64;
-        if self.samples < USUAL_SAMPLES {
+        if self.samples < BASELINE_SAMPLES {
             self.samples += 1;
-            self.usual = self.usual.max(sample);
-        } else if sample > self.usual {
-            self.usual *= 1.0 + USUAL_STEP * (1.0 - USUAL_EXCESS);
+            self.baseline = self.baseline.max(sample);
+        } else if sample > self.baseline {
+            self.baseline *= 1.0 + BASELINE_STEP * (1.0 - BASELINE_EXCESS_RATIO);
         } else {
-            self.usual *= 1.0 - USUAL_STEP * USUAL_EXCESS;
+            self.baseline *= 1.0 - BASELINE_STEP * BASELINE_EXCESS_RATIO;
         }
     }
 
     fn is_slow(&self, taken: Duration) -> bool {
-        let usual = self.usual * COLD_FACTOR;
-        self.samples >= USUAL_SAMPLES && taken > COLD_FLOOR && taken.as_micros() as f64 > usual
+        let bound = self.baseline * COLD_RATIO;
+        self.samples >= BASELINE_SAMPLES
+            && taken > MIN_COLD_TIME
+            && taken.as_micros() as f64 > bound
     }
 }
