--- a/decision/routing/src/placer/decision.rs
+++ b/decision/routing/src/placer/decision.rs
@@ -1,4 +1,4 @@
-//! What a placer decides, with what it weighed.
+//! Decisions of a placer, with the candidates that it compared.
 
 use std::time::Duration;
 
@@ -8,34 +8,34 @@
 
 use crate::gate::CreditId;
 
-/// Candidates kept in a decision, which needs no allocation for them.
+/// Candidates stored inline in a decision, without allocation.
 pub(super) const INLINE_CANDIDATES: usize = 8;
 
-/// An upstream that was weighed.
+/// An upstream that was considered.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Candidate {
     /// Name of the upstream.
     pub upstream: UpstreamName,
-    /// Estimated time to the whole answer, microseconds; lower is better.
+    /// Estimated time to the complete answer, microseconds; lower is better.
     pub score: f64,
-    /// Requests that run there, as estimated.
+    /// Estimated number of requests running there.
     pub load: f64,
-    /// Requests that may run there at once, as last reported.
+    /// Last reported limit on concurrent requests there.
     pub allowance: u32,
-    /// Blocks of the prompt believed to be cached there.
+    /// Blocks of the prompt expected in its cache.
     pub hit: u32,
 }
 
-/// Best candidates that were weighed, best first.
+/// Best candidates of a decision, best first.
 pub type Candidates = SmallVec<[Candidate; INLINE_CANDIDATES]>;
 
-/// Why the chosen upstream was chosen.
+/// Why an upstream was chosen.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum Reason {
-    /// It holds the longest part of the prompt.
+    /// It caches the longest prefix of the prompt.
     #[display("prefix")]
     Prefix,
-    /// It has the lowest score by load and speed.
+    /// It has the lowest score by load, speed and distance.
     #[display("load")]
     Load,
     /// It granted a credit.
@@ -46,24 +46,24 @@
     Only,
 }
 
-/// Booking of one placed request; given back by `Placer::finish`.
+/// Reservation of one placed request; returned to `Placer::finish`.
 #[derive(Debug, PartialEq, Eq)]
 #[must_use = "a ticket counts as load until it is finished"]
-pub struct Ticket(pub(super) Booking);
+pub struct Ticket(pub(super) Reservation);
 
 impl Ticket {
-    /// Gives the booking up to whoever ends it.
-    pub(super) fn into_booking(self) -> Booking {
+    /// Returns the reservation.
+    pub(super) fn into_reservation(self) -> Reservation {
         self.0
     }
 }
 
-/// What a ticket stands for.
+/// Contents of a ticket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct Booking {
+pub(super) struct Reservation {
     pub(super) slot: u32,
     pub(super) generation: u32,
-    pub(super) believed: u32,
+    pub(super) expected_hit: u32,
 }
 
 /// A placed request.
@@ -71,62 +71,62 @@
 pub struct Decision {
     /// Upstream that was chosen.
     pub upstream: UpstreamName,
-    /// Why.
+    /// Why it was chosen.
     pub reason: Reason,
-    /// Credit to send along.
+    /// Credit to send with the request, if one was redeemed.
     pub credit: Option<CreditId>,
-    /// Best candidates that were weighed, best first.
+    /// Best candidates, the chosen one first.
     pub candidates: Candidates,
-    /// Booking to give back at the end.
+    /// Ticket to return when the request ends.
     pub ticket: Ticket,
 }
 
-/// A request that has to wait for a place.
+/// A request that has to wait until an upstream has room.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Wait {
-    /// Upstreams whose agents should be asked for credits.
+    /// Upstreams whose agents to ask for credits.
     pub upstreams: SmallVec<[UpstreamName; INLINE_CANDIDATES]>,
 }
 
-/// What becomes of a request.
+/// Result of placing a request.
 #[derive(Debug, PartialEq)]
 #[expect(
     clippy::large_enum_variant,
     reason = "one is built for each request and should not allocate"
 )]
 pub enum Placement {
-    /// It goes to an upstream.
+    /// The request is sent to an upstream.
     Chosen(Decision),
-    /// It waits in the queue.
+    /// The request waits in the queue.
     Wait(Wait),
-    /// It cannot be served.
+    /// The request cannot be served.
     Refused(Failure),
 }
 
-/// How a placed request ended.
+/// How an attempt on an upstream ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum AttemptOutcome {
-    /// Answered in full.
+    /// Answered completely.
     Good,
-    /// Refused by the gate as "not run", with its load.
+    /// Refused by the gate without having run, with the gate's load report if present.
     Refused(Option<LoadReport>),
-    /// Cancelled, which says nothing of the upstream.
+    /// Cancelled, which does not affect the health of the upstream.
     Cancelled,
-    /// The upstream failed, stalled or could not be reached.
+    /// The upstream failed, stalled or was unreachable.
     Failed,
 }
 
 /// End of a placed request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Finished {
-    /// How it ended.
+    /// How the attempt ended.
     pub outcome: AttemptOutcome,
-    /// Time from sending to the first token or to the head of the answer.
+    /// Time from sending to the first token or the head of the answer; `None` if neither arrived.
     pub first_token: Option<Duration>,
     /// Time from sending to the end.
     pub total: Duration,
     /// Tokens of the answer.
     pub tokens: u32,
-    /// Blocks of the prompt that the engine found in its cache, if it says so.
+    /// Blocks of the prompt that the engine found in its cache; `None` if not reported.
     pub cached: Option<u32>,
 }
--- a/decision/routing/src/placer/directory.rs
+++ b/decision/routing/src/placer/directory.rs
@@ -1,4 +1,5 @@
-//! Upstreams that an entry knows, by name and by group.
+//! Announced upstreams of an entry, by slot number, name and group, with their
+//! total load by zone.
 
 use std::collections::BTreeMap;
 
@@ -8,14 +9,14 @@
 
 use super::slot::Slot;
 
-/// Members of one group of ranks, which advance at the pace of the slowest.
+/// Group of ranks, whose speed is that of the slowest member.
 #[derive(Debug, Default)]
 struct Group {
     members: Vec<u32>,
-    gap: u64,
+    token_gap: u64,
 }
 
-/// Upstreams that an entry knows.
+/// Announced upstreams of an entry.
 #[derive(Debug, Default)]
 pub(super) struct Directory {
     slots: Vec<Option<Slot>>,
@@ -28,7 +29,7 @@
     domains: BTreeMap<(Option<ZoneName>, bool), u32>,
 }
 
-/// Load on the upstreams of one kind in one zone.
+/// Total load on the upstreams of one kind, in one zone or in all.
 #[derive(Debug, Default)]
 struct Usage {
     own: f64,
@@ -36,9 +37,9 @@
     allowance: f64,
 }
 
-/// Usual load of an upstream for each place of its allowance.
+/// MeanLoad load per unit of allowance.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Mean {
+pub(super) struct MeanLoad {
     /// Requests of this entry.
     pub(super) own: f64,
     /// Requests of other entries.
@@ -47,46 +48,46 @@
 
 impl Usage {
     fn add(&mut self, slot: &Slot, sign: f64) {
-        self.own += sign * f64::from(slot.inflight());
-        self.others += sign * slot.others();
+        self.own += sign * f64::from(slot.in_flight());
+        self.others += sign * slot.other_load();
         self.allowance += sign * f64::from(slot.report.allowance);
     }
 }
 
 impl Directory {
-    /// Slots, those of forgotten upstreams included.
+    /// Returns the number of slots, including free ones.
     pub(super) fn len(&self) -> usize {
         self.slots.len()
     }
 
-    /// Slot number of an upstream.
+    /// Returns the slot number of an upstream.
     pub(super) fn find(&self, upstream: &UpstreamName) -> Option<u32> {
         self.names.get(upstream).copied()
     }
 
-    /// Upstream in slot number `index`.
+    /// Returns the slot at `index`; `None` if it is free.
     pub(super) fn slot(&self, index: u32) -> Option<&Slot> {
         self.slots.get(index as usize)?.as_ref()
     }
 
-    /// Upstream in slot number `index`.
+    /// Returns the slot at `index` for changes that do not affect its load.
     pub(super) fn slot_mut(&mut self, index: u32) -> Option<&mut Slot> {
         self.slots.get_mut(index as usize)?.as_mut()
     }
 
-    /// Upstream called `upstream`.
+    /// Returns the slot of `upstream`.
     pub(super) fn named(&self, upstream: &UpstreamName) -> Option<&Slot> {
         self.slot(self.find(upstream)?)
     }
 
-    /// All upstreams with their slot numbers.
+    /// Iterates over the occupied slots and their numbers.
     pub(super) fn iter(&self) -> impl Iterator<Item = (u32, &Slot)> {
         (0..)
             .zip(&self.slots)
             .filter_map(|(index, slot)| Some((index, slot.as_ref()?)))
     }
 
-    /// Name of the upstream in slot number `index`.
+    /// Returns the name of the upstream in slot number `index`.
     pub(super) fn name_of(&self, index: u32) -> Option<UpstreamName> {
         let slot = self.slot(index)?;
         Some(slot.announcement.upstream.clone())
@@ -109,30 +110,30 @@
         index
     }
 
-    /// Takes a later announcement of the upstream in slot number `index`.
+    /// Replaces the announcement of the upstream in slot number `index`.
     pub(super) fn announce(&mut self, index: u32, announcement: Announcement) {
         let domains = self.domains(&announcement);
         if let Some(slot) = self.slots.get_mut(index as usize).and_then(Option::as_mut) {
-            count(&mut self.usage, slot, -1.0);
+            add_usage(&mut self.usage, slot, -1.0);
             slot.announcement = announcement;
             slot.domains = domains;
-            count(&mut self.usage, slot, 1.0);
+            add_usage(&mut self.usage, slot, 1.0);
         }
         self.join_group(index);
     }
 
-    /// Forgets an upstream and returns the slot number that it had.
+    /// Removes an upstream and returns the freed slot number.
     pub(super) fn remove(&mut self, upstream: &UpstreamName) -> Option<u32> {
         let index = self.names.remove(upstream)?;
         self.leave_group(index);
         if let Some(slot) = self.slots[index as usize].take() {
-            count(&mut self.usage, &slot, -1.0);
+            add_usage(&mut self.usage, &slot, -1.0);
         }
         self.free.push(index);
         Some(index)
     }
 
-    /// Makes the upstream in slot number `index` a member of its announced group.
+    /// Adds the upstream in slot number `index` to its announced group.
     fn join_group(&mut self, index: u32) {
         self.leave_group(index);
         let Some(slot) = self.slots[index as usize].as_mut() else {
@@ -154,14 +155,14 @@
         self.groups[group as usize].members.push(index);
     }
 
-    /// Takes a load report of the upstream in slot number `index`.
-    pub(super) fn report(&mut self, index: u32, report: &LoadReport, taken: Time) {
+    /// Applies a load report of the upstream in slot number `index`.
+    pub(super) fn report(&mut self, index: u32, report: &LoadReport, reported_at: Time) {
         let Some(slot) = self.slots.get_mut(index as usize).and_then(Option::as_mut) else {
             return;
         };
-        count(&mut self.usage, slot, -1.0);
-        let newer = slot.observe(report, taken);
-        count(&mut self.usage, slot, 1.0);
+        add_usage(&mut self.usage, slot, -1.0);
+        let newer = slot.observe(report, reported_at);
+        add_usage(&mut self.usage, slot, 1.0);
         if !newer {
             return;
         }
@@ -170,7 +171,7 @@
         };
         let slots = &self.slots;
         let group = &mut self.groups[group as usize];
-        group.gap = group
+        group.token_gap = group
             .members
             .iter()
             .filter_map(|m| slots[*m as usize].as_ref())
@@ -179,26 +180,26 @@
             .unwrap_or(0);
     }
 
-    /// Forgets the report of an upstream that has a new incarnation.
+    /// Resets the slot of an upstream that has a new incarnation.
     pub(super) fn restart(&mut self, index: u32) {
         if let Some(slot) = self.slots.get_mut(index as usize).and_then(Option::as_mut) {
-            count(&mut self.usage, slot, -1.0);
+            add_usage(&mut self.usage, slot, -1.0);
             slot.restart();
-            count(&mut self.usage, slot, 1.0);
+            add_usage(&mut self.usage, slot, 1.0);
         }
     }
 
-    /// Usual load on the upstreams of the slot's kind, in its zone or in all.
-    pub(super) fn mean(&self, slot: &Slot, zonal: bool) -> Mean {
+    /// Returns the mean load on upstreams of the slot's kind, in its zone or in all.
+    pub(super) fn mean_load(&self, slot: &Slot, zonal: bool) -> MeanLoad {
         let usage = &self.usage[slot.domains[usize::from(zonal)] as usize];
-        let places = usage.allowance.max(1.0);
-        Mean {
-            own: usage.own.max(0.0) / places,
-            others: usage.others.max(0.0) / places,
+        let allowance = usage.allowance.max(1.0);
+        MeanLoad {
+            own: usage.own.max(0.0) / allowance,
+            others: usage.others.max(0.0) / allowance,
         }
     }
 
-    /// Counts a request of this entry; returns the generation of its slot.
+    /// Records the start of a request of this entry; returns the generation of its slot.
     pub(super) fn begin(&mut self, index: u32, now: Time) -> u32 {
         let Some(slot) = self.slots.get_mut(index as usize).and_then(Option::as_mut) else {
             return 0;
@@ -210,7 +211,7 @@
         slot.generation
     }
 
-    /// Counts the end of a request of this entry; false if its slot is gone.
+    /// Records the end of a request of this entry; `false` if its slot was removed or reused.
     pub(super) fn end(&mut self, index: u32, generation: u32, now: Time) -> bool {
         let slot = self.slots.get_mut(index as usize).and_then(Option::as_mut);
         let Some(slot) = slot.filter(|s| s.generation == generation) else {
@@ -223,12 +224,12 @@
         true
     }
 
-    /// Longest time between tokens among the members of the slot's group.
+    /// Returns the longest time between tokens in the slot's group, microseconds.
     pub(super) fn group_gap(&self, slot: &Slot) -> u64 {
-        slot.group.map_or(0, |g| self.groups[g as usize].gap)
+        slot.group.map_or(0, |g| self.groups[g as usize].token_gap)
     }
 
-    /// Indexes of the usages that an upstream counts towards: all zones, its zone.
+    /// Returns the indexes of the usages that include an upstream: all zones, its zone.
     fn domains(&mut self, announcement: &Announcement) -> [u32; 2] {
         let plain = announcement.kind == ServiceKind::Plain;
         let zone = announcement.zone.clone();
@@ -256,8 +257,8 @@
     }
 }
 
-/// Adds the load of an upstream to the usages that it counts towards.
-fn count(usage: &mut [Usage], slot: &Slot, sign: f64) {
+/// Adds the load of an upstream, times `sign`, to the usages that include it.
+fn add_usage(usage: &mut [Usage], slot: &Slot, sign: f64) {
     for domain in slot.domains {
         usage[domain as usize].add(slot, sign);
     }
--- a/decision/routing/src/placer/mod.rs
+++ b/decision/routing/src/placer/mod.rs
@@ -1,18 +1,18 @@
 //! Choice of an upstream for each request of one entry.
 //!
-//! A decision weighs a few candidates: holders of the prompt's prefix, draws
-//! from the nearest zone and draws from all zones. Random draws keep entries
-//! that look at the same stale reports from choosing the same upstream, and
-//! keep the cost of a decision from growing with the number of upstreams. Own
-//! requests sent since a report are added to it. When no candidate has room
-//! the request waits, and the agents to ask for credits are named.
+//! A decision scores a few candidates: holders of the prompt's prefix, random
+//! draws from the nearest zone and random draws from all zones. Random draws
+//! avoid herding of entries that use the same stale reports, and keep the cost
+//! of a decision independent of the number of upstreams. Own requests sent
+//! since a report are added to it. When no candidate has room the request
+//! waits, and the decision lists the upstreams whose agents to ask for credits.
 
 mod decision;
 mod directory;
 mod pool;
 mod prefix;
-mod scene;
 mod score;
+mod selection;
 mod slot;
 
 use std::collections::BTreeMap;
@@ -28,22 +28,22 @@
 pub use decision::{
     AttemptOutcome, Candidate, Candidates, Decision, Finished, Placement, Reason, Ticket, Wait,
 };
-use decision::{Booking, INLINE_CANDIDATES};
+use decision::{INLINE_CANDIDATES, Reservation};
 use directory::Directory;
 use pool::{Pool, Pools};
-use prefix::Beliefs;
+use prefix::CacheIndex;
 pub use prefix::{CacheAction, CacheChange, CacheEvent, CacheSnapshot};
-use scene::{Scene, Shortlist, Weighed};
-use score::Learned;
+use score::ServiceStats;
+use selection::{ScoredSlot, Selection, Shortlist};
 use slot::Slot;
 
-/// Largest part of a service's upstreams that may be ejected at once.
-const MAX_EJECTED: f64 = 0.5;
+/// Largest share of a service's upstreams that may be ejected at once.
+const MAX_EJECTED_RATIO: f64 = 0.5;
 
-/// What a placer is told when it opens.
+/// Settings of a placer.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlacerSettings {
-    /// Instance of the entry.
+    /// Instance that runs the entry.
     pub instance: InstanceName,
     /// Availability zone of the entry.
     pub zone: ZoneName,
@@ -54,7 +54,7 @@
 }
 
 impl PlacerSettings {
-    /// Returns the usual settings of an entry.
+    /// Returns the default settings of an entry, seeded by its instance name.
     pub fn new(instance: InstanceName, zone: ZoneName) -> Self {
         let digest = Fingerprint::of([instance.as_bytes()]).0;
         Self {
@@ -66,36 +66,36 @@
     }
 }
 
-/// Choice of upstreams in one entry.
+/// Chooses upstreams for the requests of one entry.
 #[derive(Debug)]
 pub struct Placer {
     settings: PlacerSettings,
     declarations: Declarations,
     directory: Directory,
     pools: Pools,
-    beliefs: Beliefs,
-    learned: BTreeMap<ServiceName, Learned>,
+    cache: CacheIndex,
+    stats: BTreeMap<ServiceName, ServiceStats>,
 }
 
 impl Placer {
-    /// Opens a placer that knows no upstream.
+    /// Creates a placer without upstreams.
     pub fn open(settings: PlacerSettings) -> Self {
         Self {
             settings,
             declarations: Declarations::default(),
             directory: Directory::default(),
             pools: Pools::default(),
-            beliefs: Beliefs::default(),
-            learned: BTreeMap::new(),
+            cache: CacheIndex::default(),
+            stats: BTreeMap::new(),
         }
     }
 
-    /// Configuration in force.
+    /// Returns the configuration revision in force.
     pub fn revision(&self) -> Revision {
         self.declarations.revision
     }
 
-    /// Puts declarations in force; older ones than those in force are ignored.
+    /// Applies declarations, unless the current ones are newer.
     pub fn declare(&mut self, declarations: Declarations) {
         if declarations.revision < self.declarations.revision {
             return;
@@ -104,7 +104,7 @@
         self.pools.reset(&self.declarations);
     }
 
-    /// Takes what an agent announces about its upstream.
+    /// Applies an agent's announcement; one of an earlier incarnation is ignored.
     pub fn announce(&mut self, announcement: Announcement) {
         let index = match self.directory.find(&announcement.upstream) {
             Some(index) => index,
@@ -119,29 +119,29 @@
         }
         if announcement.incarnation > before {
             self.directory.restart(index);
-            self.beliefs.restart(index, announcement.incarnation);
+            self.cache.restart(index, announcement.incarnation);
         }
         self.directory.announce(index, announcement);
-        self.index(index);
+        self.update_pools(index);
     }
 
-    /// Forgets an upstream that has not been heard of for long.
+    /// Removes an upstream whose announcements have stopped.
     pub fn remove_upstream(&mut self, upstream: &UpstreamName) {
         let Some(index) = self.directory.remove(upstream) else {
             return;
         };
         self.pools.remove(index);
-        self.beliefs.restart(index, Incarnation::default());
+        self.cache.restart(index, Incarnation::default());
     }
 
-    /// Takes a load report that describes the upstream at `taken`.
-    pub fn observe_report(&mut self, upstream: &UpstreamName, report: &LoadReport, taken: Time) {
+    /// Applies a load report made at `at`.
+    pub fn observe_report(&mut self, upstream: &UpstreamName, report: &LoadReport, at: Time) {
         if let Some(index) = self.directory.find(upstream) {
-            self.directory.report(index, report, taken);
+            self.directory.report(index, report, at);
         }
     }
 
-    /// Takes a cache event of an upstream.
+    /// Applies a cache event of an upstream.
     pub fn observe_cache(
         &mut self,
         upstream: &UpstreamName,
@@ -149,12 +149,12 @@
         now: Time,
     ) -> CacheAction {
         match self.directory.find(upstream) {
-            Some(index) => self.beliefs.event(index, event, now),
+            Some(index) => self.cache.event(index, event, now),
             None => CacheAction::None,
         }
     }
 
-    /// Takes a snapshot of the cache of an upstream.
+    /// Applies a snapshot of the cache of an upstream.
     pub fn observe_snapshot(
         &mut self,
         upstream: &UpstreamName,
@@ -162,12 +162,12 @@
         now: Time,
     ) -> CacheAction {
         match self.directory.find(upstream) {
-            Some(index) => self.beliefs.snapshot(index, snapshot, now),
+            Some(index) => self.cache.snapshot(index, snapshot, now),
             None => CacheAction::None,
         }
     }
 
-    /// Decides where a request goes, leaving out upstreams that refused it before.
+    /// Chooses an upstream for a request, except those in `tried`, which refused it before.
     pub fn place<R>(
         &mut self,
         meta: &RequestMeta,
@@ -183,34 +183,34 @@
             Err(failure) => return Placement::Refused(failure),
         };
         let Some(service) = self.pools.service(&meta.service) else {
-            return Placement::Refused(unknown(meta));
+            return Placement::Refused(unknown_service(meta));
         };
         let pool = service.pool(pool);
         if pool.len() == 0 {
             return Placement::Refused(self.no_upstream(meta));
         }
-        let learned = self.learned.get(&meta.service).copied().unwrap_or_default();
-        let scene = Scene {
+        let stats = self.stats.get(&meta.service).copied().unwrap_or_default();
+        let selection = Selection {
             directory: &self.directory,
-            beliefs: &self.beliefs,
+            cache: &self.cache,
             settings: &self.settings,
             pool,
-            learned,
+            stats,
             meta,
             tried,
             now,
         };
-        let shortlist = scene.shortlist(rng);
+        let shortlist = selection.shortlist(rng);
         if shortlist.is_empty() {
             return Placement::Wait(Wait {
-                upstreams: scene.to_ask(rng),
+                upstreams: selection.credit_sources(rng),
             });
         }
-        let reason = scene.reason(&shortlist);
-        Placement::Chosen(self.book(meta, &shortlist, reason, None, now))
+        let reason = selection.reason(&shortlist);
+        Placement::Chosen(self.reserve(meta, &shortlist, reason, None, now))
     }
 
-    /// Sends a request to the upstream that granted a credit; none if it may not go there.
+    /// Assigns a request to the upstream that granted a credit, if that can serve it.
     pub fn redeem(
         &mut self,
         meta: &RequestMeta,
@@ -224,44 +224,44 @@
         if !pool.contains(index) {
             return None;
         }
-        let learned = self.learned.get(&meta.service).copied().unwrap_or_default();
-        let scene = Scene {
+        let stats = self.stats.get(&meta.service).copied().unwrap_or_default();
+        let selection = Selection {
             directory: &self.directory,
-            beliefs: &self.beliefs,
+            cache: &self.cache,
             settings: &self.settings,
             pool,
-            learned,
+            stats,
             meta,
             tried: &[],
             now,
         };
-        let weighed = scene.weigh(index, 0.0)?;
-        let shortlist = Shortlist::from_slice(&[weighed]);
-        Some(self.book(meta, &shortlist, Reason::Credit, Some(credit), now))
+        let candidate = selection.evaluate(index, 0.0)?;
+        let shortlist = Shortlist::from_slice(&[candidate]);
+        Some(self.reserve(meta, &shortlist, Reason::Credit, Some(credit), now))
     }
 
-    /// Notes progress of a placed request: a first token or a later one.
+    /// Records progress of a placed request: any token.
     pub fn progress(&mut self, ticket: &Ticket, now: Time) {
-        if let Some(slot) = self.booked(ticket.0) {
+        if let Some(slot) = self.reserved_slot(ticket.0) {
             slot.health.record_progress(now);
         }
     }
 
-    /// Takes the end of a placed request.
+    /// Records the end of a placed request.
     pub fn finish(&mut self, ticket: Ticket, meta: &RequestMeta, done: &Finished, now: Time) {
-        let booking = ticket.into_booking();
-        if !self.directory.end(booking.slot, booking.generation, now) {
+        let reserved = ticket.into_reservation();
+        if !self.directory.end(reserved.slot, reserved.generation, now) {
             return;
         }
         match done.outcome {
-            AttemptOutcome::Good => self.learn(booking, meta, done, now),
-            AttemptOutcome::Refused(report) => self.refused(booking, meta, report, now),
-            AttemptOutcome::Cancelled => self.cancelled(booking),
-            AttemptOutcome::Failed => self.failed(booking, meta, now),
+            AttemptOutcome::Good => self.record_success(reserved, meta, done, now),
+            AttemptOutcome::Refused(report) => self.record_refused(reserved, meta, report, now),
+            AttemptOutcome::Cancelled => self.record_cancelled(reserved),
+            AttemptOutcome::Failed => self.record_failed(reserved, meta, now),
         }
     }
 
-    /// Ejects upstreams whose requests make no progress, and names them.
+    /// Ejects upstreams whose requests make no progress, and returns their names.
     pub fn check_stalls(&mut self, now: Time) -> Vec<UpstreamName> {
         let stalled: Vec<u32> = self
             .directory
@@ -278,52 +278,52 @@
         ejected
     }
 
-    /// Health of an upstream as this entry sees it.
+    /// Returns the health of an upstream; `None` if it is not announced.
     pub fn health(&self, upstream: &UpstreamName) -> Option<HealthState> {
         self.directory.named(upstream).map(|s| s.health.state())
     }
 
-    /// Requests of this entry that run on an upstream.
+    /// Returns the number of requests of this entry in flight on an upstream.
     pub fn inflight(&self, upstream: &UpstreamName) -> u32 {
-        self.directory.named(upstream).map_or(0, Slot::inflight)
+        self.directory.named(upstream).map_or(0, Slot::in_flight)
     }
 
-    /// Address of the agent of an upstream.
+    /// Returns the address of the agent of an upstream.
     pub fn address(&self, upstream: &UpstreamName) -> Option<&str> {
         let slot = self.directory.named(upstream)?;
         Some(&slot.announcement.address)
     }
 
-    /// Blocks of prompts believed cached anywhere.
+    /// Returns the number of prompt blocks in the cache index.
     pub fn tracked_blocks(&self) -> usize {
-        self.beliefs.len()
+        self.cache.len()
     }
 
     fn add(&mut self, announcement: &Announcement) -> u32 {
         let index = self.directory.add(announcement);
-        self.beliefs.resize(self.directory.len());
-        self.beliefs.restart(index, announcement.incarnation);
+        self.cache.resize(self.directory.len());
+        self.cache.restart(index, announcement.incarnation);
         index
     }
 
-    /// Puts an upstream into the pools that it belongs to now.
-    fn index(&mut self, index: u32) {
+    /// Updates the pools that contain an upstream.
+    fn update_pools(&mut self, index: u32) {
         self.pools.remove(index);
         let Some(slot) = self.directory.slot(index) else {
             return;
         };
-        if is_open(&self.declarations, &slot.announcement) {
+        if accepts_work(&self.declarations, &slot.announcement) {
             self.pools
                 .insert(index, &slot.announcement, &self.settings.zone);
         }
     }
 
-    /// Finds the pool of a request, and builds it on first use.
+    /// Returns the index of the pool for a request, and builds it on first use.
     fn pool_for(&mut self, meta: &RequestMeta) -> Result<usize, Failure> {
         let service = self
             .pools
             .service(&meta.service)
-            .ok_or_else(|| unknown(meta))?;
+            .ok_or_else(|| unknown_service(meta))?;
         let profile = service.profile();
         if let Some(adapter) = &meta.adapter
             && !profile.adapters.contains(adapter)
@@ -342,11 +342,11 @@
             .directory
             .iter()
             .map(|(index, slot)| (index, &slot.announcement))
-            .filter(|(_, announcement)| is_open(declarations, announcement));
-        let own = &self.settings.zone;
+            .filter(|(_, announcement)| accepts_work(declarations, announcement));
+        let zone = &self.settings.zone;
         self.pools
-            .build(&meta.service, version.as_ref(), adapter, upstreams, own)
-            .ok_or_else(|| unknown(meta))
+            .build(&meta.service, version.as_ref(), adapter, upstreams, zone)
+            .ok_or_else(|| unknown_service(meta))
     }
 
     fn no_upstream(&self, meta: &RequestMeta) -> Failure {
@@ -354,11 +354,11 @@
         Failure::new(ErrorKind::NoUpstream, detail)
     }
 
-    /// Books a request on the first of the shortlist.
-    fn book(
+    /// Reserves room for a request on the first of the shortlist.
+    fn reserve(
         &mut self,
         meta: &RequestMeta,
-        shortlist: &[Weighed],
+        shortlist: &[ScoredSlot],
         reason: Reason,
         credit: Option<CreditId>,
         now: Time,
@@ -367,91 +367,99 @@
         let candidates: Candidates = shortlist
             .iter()
             .take(INLINE_CANDIDATES)
-            .filter_map(|w| self.describe(w))
+            .filter_map(|scored| self.candidate(scored))
             .collect();
         let generation = self.directory.begin(chosen.slot, now);
-        self.beliefs.add(chosen.slot, &meta.prefix);
+        self.cache.add(chosen.slot, &meta.prefix);
         Decision {
             upstream: candidates[0].upstream.clone(),
             reason,
             credit,
             candidates,
-            ticket: Ticket(Booking {
+            ticket: Ticket(Reservation {
                 slot: chosen.slot,
                 generation,
-                believed: chosen.hit,
+                expected_hit: chosen.hit,
             }),
         }
     }
 
-    fn describe(&self, weighed: &Weighed) -> Option<Candidate> {
-        let slot = self.directory.slot(weighed.slot)?;
+    fn candidate(&self, scored: &ScoredSlot) -> Option<Candidate> {
+        let slot = self.directory.slot(scored.slot)?;
         Some(Candidate {
             upstream: slot.announcement.upstream.clone(),
-            score: weighed.score,
-            load: weighed.load,
-            allowance: weighed.allowance,
-            hit: weighed.hit,
+            score: scored.score,
+            load: scored.load,
+            allowance: scored.allowance,
+            hit: scored.hit,
         })
     }
 
-    fn booked(&mut self, booking: Booking) -> Option<&mut Slot> {
+    fn reserved_slot(&mut self, reserved: Reservation) -> Option<&mut Slot> {
         self.directory
-            .slot_mut(booking.slot)
-            .filter(|s| s.generation == booking.generation)
+            .slot_mut(reserved.slot)
+            .filter(|s| s.generation == reserved.generation)
     }
 
-    fn learn(&mut self, booking: Booking, meta: &RequestMeta, done: &Finished, now: Time) {
+    fn record_success(
+        &mut self,
+        reserved: Reservation,
+        meta: &RequestMeta,
+        done: &Finished,
+        now: Time,
+    ) {
         let blocks = u32::try_from(meta.prefix.len()).unwrap_or(u32::MAX);
-        let hit = done.cached.unwrap_or(booking.believed).min(blocks);
-        if let Some(slot) = self.booked(booking) {
+        let hit = done.cached.unwrap_or(reserved.expected_hit).min(blocks);
+        if let Some(slot) = self.reserved_slot(reserved) {
             slot.health.record_success(now);
-            slot.verify(booking.believed, hit);
+            slot.verify_hit(reserved.expected_hit, hit);
         }
-        let first = done.first_token.unwrap_or(done.total);
-        self.learned
-            .entry(meta.service.clone())
-            .or_default()
-            .observe(blocks - hit, done.tokens, first, done.total);
+        let first_token = done.first_token.unwrap_or(done.total);
+        self.stats.entry(meta.service.clone()).or_default().observe(
+            blocks - hit,
+            done.tokens,
+            first_token,
+            done.total,
+        );
     }
 
-    fn cancelled(&mut self, booking: Booking) {
-        if let Some(slot) = self.booked(booking) {
+    fn record_cancelled(&mut self, reserved: Reservation) {
+        if let Some(slot) = self.reserved_slot(reserved) {
             slot.health.record_neutral();
         }
     }
 
-    fn refused(
+    fn record_refused(
         &mut self,
-        booking: Booking,
+        reserved: Reservation,
         meta: &RequestMeta,
         report: Option<LoadReport>,
         now: Time,
     ) {
-        self.disbelieve(booking, meta);
-        self.cancelled(booking);
+        self.discard_expected(reserved, meta);
+        self.record_cancelled(reserved);
         if let Some(report) = report {
-            self.directory.report(booking.slot, &report, now);
+            self.directory.report(reserved.slot, &report, now);
         }
     }
 
-    fn failed(&mut self, booking: Booking, meta: &RequestMeta, now: Time) {
-        self.disbelieve(booking, meta);
-        let failing = self
-            .booked(booking)
+    fn record_failed(&mut self, reserved: Reservation, meta: &RequestMeta, now: Time) {
+        self.discard_expected(reserved, meta);
+        let eject = self
+            .reserved_slot(reserved)
             .is_some_and(|slot| slot.health.record_failure());
-        if failing {
-            self.eject(booking.slot, now);
+        if eject {
+            self.eject(reserved.slot, now);
         }
     }
 
-    /// Drops the beliefs that the placement itself added.
-    fn disbelieve(&mut self, booking: Booking, meta: &RequestMeta) {
-        let added = meta.prefix.get(booking.believed as usize..);
-        self.beliefs.remove(booking.slot, added.unwrap_or_default());
+    /// Removes the blocks that the placement itself added to the cache index.
+    fn discard_expected(&mut self, reserved: Reservation, meta: &RequestMeta) {
+        let added = meta.prefix.get(reserved.expected_hit as usize..);
+        self.cache.remove(reserved.slot, added.unwrap_or_default());
     }
 
-    /// Ejects an upstream unless too many of its service are out already.
+    /// Ejects an upstream and returns `true`, unless too many in one of its pools are ejected.
     fn eject(&mut self, index: u32, now: Time) -> bool {
         let allowed = self.pools.pools_of(index).all(|p| self.may_eject(p, now));
         if let Some(slot) = self.directory.slot_mut(index)
@@ -468,16 +476,16 @@
             .filter_map(|m| self.directory.slot(m))
             .filter(|s| s.health.is_ejected(now))
             .count();
-        (ejected + 1) as f64 <= pool.len() as f64 * MAX_EJECTED
+        (ejected + 1) as f64 <= pool.len() as f64 * MAX_EJECTED_RATIO
     }
 }
 
-/// Whether an upstream may take new work at all.
-fn is_open(declarations: &Declarations, announcement: &Announcement) -> bool {
+/// Returns whether an upstream accepts new work.
+fn accepts_work(declarations: &Declarations, announcement: &Announcement) -> bool {
     !announcement.leaving && declarations.admits(&announcement.zone, &announcement.upstream)
 }
 
-fn unknown(meta: &RequestMeta) -> Failure {
+fn unknown_service(meta: &RequestMeta) -> Failure {
     let detail = format!("there is no service {}", meta.service);
     Failure::new(ErrorKind::NotFound, detail)
 }
--- a/decision/routing/src/placer/pool.rs
+++ b/decision/routing/src/placer/pool.rs
@@ -1,4 +1,5 @@
-//! Upstreams by what they can serve, kept so that a decision need not scan all.
+//! Upstreams by the services, versions and adapters that they serve, indexed so
+//! that a decision need not scan all upstreams.
 
 use std::collections::BTreeMap;
 
@@ -10,11 +11,11 @@
 
 use crate::gate::serves;
 
-/// Share of the answer time that one step of distance costs.
-const FAR_PENALTY: f64 = 0.25;
-/// Most steps of distance that count.
+/// Penalty of one step of distance, as a share of the answer time.
+const STEP_PENALTY: f64 = 0.25;
+/// Largest number of steps of distance that are penalized.
 const MAX_STEPS: usize = 2;
-/// Most pools kept for one service.
+/// Largest number of pools kept per service.
 const MAX_POOLS: usize = 64;
 
 /// Upstreams of one zone.
@@ -50,17 +51,17 @@
 }
 
 impl Pool {
-    /// Upstreams in the pool.
+    /// Returns the number of upstreams in the pool.
     pub(super) fn len(&self) -> usize {
         self.total
     }
 
-    /// Whether work is kept in some zones before others.
+    /// Returns whether some zones are preferred to others.
     pub(super) fn is_zonal(&self) -> bool {
         self.zones.iter().any(|z| z.penalty > 0.0)
     }
 
-    /// Upstream number `index` of all zones in order.
+    /// Returns the slot and penalty of upstream number `index`, counted over all zones in order.
     pub(super) fn nth(&self, index: usize) -> Option<(u32, f64)> {
         let mut index = index;
         for zone in &self.zones {
@@ -72,7 +73,7 @@
         None
     }
 
-    /// Draws an upstream of any zone.
+    /// Draws an upstream from all zones at random.
     pub(super) fn draw<R>(&self, rng: &mut R) -> Option<(u32, f64)>
     where
         R: Rng,
@@ -83,7 +84,7 @@
         self.nth(rng.random_range(0..self.total))
     }
 
-    /// Draws an upstream of the nearest zone that has any.
+    /// Draws an upstream from the nearest zone that has any at random.
     pub(super) fn draw_near<R>(&self, rng: &mut R) -> Option<(u32, f64)>
     where
         R: Rng,
@@ -93,17 +94,17 @@
         Some((zone.members[index], zone.penalty))
     }
 
-    /// Whether the upstream in `slot` is in the pool.
+    /// Returns whether the upstream in `slot` is in the pool.
     pub(super) fn contains(&self, slot: u32) -> bool {
         self.present.get(slot as usize).is_some_and(|p| *p)
     }
 
-    /// All upstreams in the pool.
+    /// Iterates over the slots of all upstreams in the pool.
     pub(super) fn members(&self) -> impl Iterator<Item = u32> {
         self.zones.iter().flat_map(|z| z.members.iter().copied())
     }
 
-    /// Penalty of the zone called `zone`.
+    /// Returns the penalty of `zone`; zero if it has no upstream here.
     pub(super) fn penalty(&self, zone: &ZoneName) -> f64 {
         self.zones
             .iter()
@@ -111,8 +112,8 @@
             .map_or(0.0, |z| z.penalty)
     }
 
-    /// Whether the upstream announced as `announcement` belongs here.
-    pub(super) fn fits(&self, service: &Service, profile: &Profile, a: &Announcement) -> bool {
+    /// Returns whether the announced upstream belongs to the pool.
+    pub(super) fn accepts(&self, service: &Service, profile: &Profile, a: &Announcement) -> bool {
         let version = self.version.as_ref();
         let adapter = self.adapter.as_ref();
         let model = profile.model.as_ref();
@@ -121,10 +122,10 @@
             && adapter.is_none_or(|name| a.adapters.contains(name))
     }
 
-    fn insert(&mut self, slot: u32, zone: &ZoneName, policy: &ZonePolicy, own: &ZoneName) {
+    fn insert(&mut self, slot: u32, zone: &ZoneName, policy: &ZonePolicy, own_zone: &ZoneName) {
         let index = match self.zones.iter().position(|z| z.zone == *zone) {
             Some(index) => index,
-            None => self.add_zone(zone, policy, own),
+            None => self.add_zone(zone, policy, own_zone),
         };
         self.zones[index].members.push(slot);
         self.total += 1;
@@ -135,13 +136,13 @@
         self.present[slot as usize] = true;
     }
 
-    /// Adds a zone at its place in the order of preference.
-    fn add_zone(&mut self, zone: &ZoneName, policy: &ZonePolicy, own: &ZoneName) -> usize {
-        let added = (distance(zone, policy, own), zone);
+    /// Inserts a zone in order of preference; returns its index.
+    fn add_zone(&mut self, zone: &ZoneName, policy: &ZonePolicy, own_zone: &ZoneName) -> usize {
+        let added = (distance(zone, policy, own_zone), zone);
         let index = self
             .zones
-            .partition_point(|z| (distance(&z.zone, policy, own), &z.zone) < added);
-        let penalty = FAR_PENALTY * added.0.min(MAX_STEPS) as f64;
+            .partition_point(|z| (distance(&z.zone, policy, own_zone), &z.zone) < added);
+        let penalty = STEP_PENALTY * added.0.min(MAX_STEPS) as f64;
         let pool = ZonePool {
             zone: zone.clone(),
             penalty,
@@ -166,12 +167,12 @@
 }
 
 impl ServicePools {
-    /// Profile that the service runs under.
+    /// Returns the profile of the service.
     pub(super) fn profile(&self) -> &Profile {
         &self.profile
     }
 
-    /// Index of the pool for `version` and `adapter`, if it is built.
+    /// Returns the index of the pool for `version` and `adapter`, if it is built.
     pub(super) fn find(
         &self,
         version: Option<&VersionName>,
@@ -182,18 +183,18 @@
             .position(|p| p.version.as_ref() == version && p.adapter.as_ref() == adapter)
     }
 
-    /// Pool at `index`.
+    /// Returns the pool at `index`.
     pub(super) fn pool(&self, index: usize) -> &Pool {
         &self.pools[index]
     }
 
     fn matches(&self, index: usize, announcement: &Announcement) -> bool {
-        self.pools[index].fits(&self.service, &self.profile, announcement)
+        self.pools[index].accepts(&self.service, &self.profile, announcement)
     }
 }
 
 impl Pools {
-    /// Starts over with the services of `declarations`.
+    /// Replaces all pools by empty sets for the services of `declarations`.
     pub(super) fn reset(&mut self, declarations: &Declarations) {
         self.services.clear();
         for service in declarations.services.values() {
@@ -209,12 +210,12 @@
         }
     }
 
-    /// Pools of `service`.
+    /// Returns the pools of `service`.
     pub(super) fn service(&self, service: &ServiceName) -> Option<&ServicePools> {
         self.services.get(service)
     }
 
-    /// Services with a pool that holds the upstream in `slot`.
+    /// Iterates over the pools that contain the upstream in `slot`.
     pub(super) fn pools_of(&self, slot: u32) -> impl Iterator<Item = &Pool> {
         self.services
             .values()
@@ -222,14 +223,14 @@
             .filter(move |p| p.contains(slot))
     }
 
-    /// Builds the pool of a service for a version and an adapter.
+    /// Builds the pool of a service for a version and an adapter; returns its index.
     pub(super) fn build<'a, I>(
         &mut self,
         key: &ServiceName,
         version: Option<&VersionName>,
         adapter: Option<&AdapterName>,
         upstreams: I,
-        own: &ZoneName,
+        own_zone: &ZoneName,
     ) -> Option<usize>
     where
         I: Iterator<Item = (u32, &'a Announcement)>,
@@ -249,25 +250,25 @@
         for (slot, announcement) in upstreams {
             if service.matches(index, announcement) {
                 let policy = &service.profile.zones;
-                service.pools[index].insert(slot, &announcement.zone, policy, own);
+                service.pools[index].insert(slot, &announcement.zone, policy, own_zone);
             }
         }
         Some(index)
     }
 
-    /// Puts the upstream in `slot` into each pool that it fits.
-    pub(super) fn insert(&mut self, slot: u32, announcement: &Announcement, own: &ZoneName) {
+    /// Adds the upstream in `slot` to each pool that accepts it.
+    pub(super) fn insert(&mut self, slot: u32, announcement: &Announcement, own_zone: &ZoneName) {
         for service in self.services.values_mut() {
             for index in 0..service.pools.len() {
                 if service.matches(index, announcement) {
                     let policy = &service.profile.zones;
-                    service.pools[index].insert(slot, &announcement.zone, policy, own);
+                    service.pools[index].insert(slot, &announcement.zone, policy, own_zone);
                 }
             }
         }
     }
 
-    /// Takes the upstream in `slot` out of all pools.
+    /// Removes the upstream in `slot` from all pools.
     pub(super) fn remove(&mut self, slot: u32) {
         for service in self.services.values_mut() {
             for pool in &mut service.pools {
@@ -288,12 +289,12 @@
         .any(|(m, v)| Some(m) == model && version.is_none_or(|wanted| wanted == v))
 }
 
-/// Steps of distance of `zone` by preference and nearness.
-fn distance(zone: &ZoneName, policy: &ZonePolicy, own: &ZoneName) -> usize {
+/// Returns the distance of `zone` in steps: its preference, then whether it is the own zone.
+fn distance(zone: &ZoneName, policy: &ZonePolicy, own_zone: &ZoneName) -> usize {
     if let Some(index) = policy.prefer.iter().position(|z| z == zone) {
         return index;
     }
-    let near = policy.spread == Spread::Even || zone == own;
+    let near = policy.spread == Spread::Even || zone == own_zone;
     let unlisted = policy.prefer.len();
     unlisted + usize::from(!near)
 }
--- a/decision/routing/src/placer/prefix.rs
+++ b/decision/routing/src/placer/prefix.rs
@@ -1,10 +1,10 @@
-//! Beliefs about which upstream holds which block of a prompt.
+//! Index of the prompt blocks expected in the cache of each upstream.
 //!
-//! Cache events arrive late, out of order and with gaps. Events that come too
-//! early wait for the missing ones; when a gap stays open, a snapshot is asked
-//! for. Requests that this entry places add beliefs as well. A wrong belief
-//! costs one prefill and is weighed by how often beliefs about that upstream
-//! have proved true.
+//! Cache events arrive late, out of order and with gaps. Events that arrive
+//! early are buffered until the missing ones arrive; while a gap remains, a
+//! snapshot is requested. Requests that this entry places add their blocks as
+//! well. A wrong entry costs one prefill; `Slot::hit_confidence` discounts
+//! expected hits by the accuracy of earlier ones.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::hash::{BuildHasherDefault, Hasher};
@@ -13,63 +13,63 @@
 use pimentotide_model::{Incarnation, Time};
 use smallvec::SmallVec;
 
-/// Holders after which a block counts as held by all.
+/// Holders from which a block counts as cached on all upstreams.
 const COMMON_HOLDERS: usize = 12;
-/// Blocks believed held by one upstream, at most.
+/// Largest number of blocks indexed per upstream.
 const MAX_SLOT_BLOCKS: usize = 16_384;
-/// Blocks believed held by all upstreams together, at most.
+/// Largest number of blocks indexed over all upstreams.
 const MAX_BLOCKS: usize = 2_000_000;
-/// Events that wait for a missing one, at most.
-const MAX_EARLY: usize = 64;
+/// Largest number of events buffered behind a gap, per upstream.
+const MAX_BUFFERED: usize = 64;
 /// Shortest time between two requests for a snapshot.
-const RESYNC_PAUSE: Duration = Duration::from_secs(1);
+const RESYNC_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Change of the cache of one upstream.
+/// Change to the cache of one upstream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CacheChange {
     /// Blocks were stored.
     Stored(Vec<u64>),
     /// Blocks were evicted.
     Evicted(Vec<u64>),
-    /// All blocks were dropped.
+    /// All blocks were evicted.
     Cleared,
 }
 
 /// Event that an upstream publishes about its cache.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CacheEvent {
-    /// Start of the upstream that it belongs to.
+    /// Incarnation of the upstream that published it.
     pub incarnation: Incarnation,
-    /// Position in the upstream's sequence of events, from 1.
+    /// Sequence number in the incarnation, from 1.
     pub sequence: u64,
-    /// What changed.
+    /// Change to apply.
     pub change: CacheChange,
 }
 
-/// All blocks that an upstream holds after an event.
+/// All blocks cached on an upstream after an event.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CacheSnapshot {
-    /// Start of the upstream that it belongs to.
+    /// Incarnation of the upstream that published it.
     pub incarnation: Incarnation,
-    /// Event up to which it holds.
+    /// Sequence number of the last event that it includes.
     pub sequence: u64,
-    /// Blocks held.
+    /// Digests of the cached blocks.
     pub blocks: Vec<u64>,
 }
 
-/// What to do after a cache event.
+/// Action that a cache event requires of the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CacheAction {
-    /// Nothing.
+    /// No action.
     None,
-    /// Ask the upstream's agent for a snapshot.
+    /// Request a snapshot from the upstream's agent.
     Resync,
 }
 
-/// Holders of one block.
+/// Slots of the upstreams that cache one block.
 type Holders = SmallVec<[u32; 4]>;
 
-/// Passes block digests through, which are hashes already.
+/// Identity hasher for block digests, which are hashes already.
 #[derive(Debug, Default)]
 struct DigestHasher(u64);
 
@@ -89,56 +89,56 @@
     }
 }
 
-/// Progress through the events of one upstream.
+/// State of the event stream of one upstream.
 #[derive(Debug, Default)]
-struct Feed {
+struct EventFeed {
     incarnation: Incarnation,
     applied: u64,
-    early: BTreeMap<u64, CacheChange>,
-    asked: Option<Time>,
+    buffered: BTreeMap<u64, CacheChange>,
+    requested_at: Option<Time>,
     blocks: VecDeque<u64>,
 }
 
-/// Beliefs about all upstreams.
+/// Cached blocks of all upstreams.
 #[derive(Debug, Default)]
-pub(super) struct Beliefs {
+pub(super) struct CacheIndex {
     holders: HashMap<u64, Holders, BuildHasherDefault<DigestHasher>>,
-    feeds: Vec<Feed>,
+    feeds: Vec<EventFeed>,
 }
 
-impl Beliefs {
-    /// Makes room for `count` upstreams.
+impl CacheIndex {
+    /// Grows to `count` slots.
     pub(super) fn resize(&mut self, count: usize) {
         if self.feeds.len() < count {
-            self.feeds.resize_with(count, Feed::default);
+            self.feeds.resize_with(count, EventFeed::default);
         }
     }
 
-    /// Forgets all about the upstream in `slot`, whose start is now `incarnation`.
+    /// Resets the upstream in `slot` to `incarnation` with an empty cache.
     pub(super) fn restart(&mut self, slot: u32, incarnation: Incarnation) {
         self.clear(slot);
         let feed = &mut self.feeds[slot as usize];
         feed.incarnation = incarnation;
         feed.applied = 0;
-        feed.early.clear();
-        feed.asked = None;
+        feed.buffered.clear();
+        feed.requested_at = None;
     }
 
-    /// Takes a cache event.
+    /// Applies a cache event, or buffers it while earlier ones are missing.
     pub(super) fn event(&mut self, slot: u32, event: CacheEvent, now: Time) -> CacheAction {
         let feed = &mut self.feeds[slot as usize];
         if event.incarnation != feed.incarnation || event.sequence <= feed.applied {
             return CacheAction::None;
         }
-        if feed.early.len() >= MAX_EARLY {
-            feed.early.pop_first();
+        if feed.buffered.len() >= MAX_BUFFERED {
+            feed.buffered.pop_first();
         }
-        feed.early.insert(event.sequence, event.change);
-        self.apply_early(slot);
-        self.gap(slot, now)
+        feed.buffered.insert(event.sequence, event.change);
+        self.apply_buffered(slot);
+        self.check_gap(slot, now)
     }
 
-    /// Takes a snapshot asked for after a gap.
+    /// Applies a snapshot requested after a gap, then the buffered events that follow it.
     pub(super) fn snapshot(
         &mut self,
         slot: u32,
@@ -150,18 +150,18 @@
             return CacheAction::None;
         }
         feed.applied = snapshot.sequence;
-        feed.early
+        feed.buffered
             .retain(|sequence, _| *sequence > snapshot.sequence);
-        feed.asked = None;
+        feed.requested_at = None;
         self.clear(slot);
         self.add(slot, &snapshot.blocks);
-        self.apply_early(slot);
-        self.gap(slot, now)
+        self.apply_buffered(slot);
+        self.check_gap(slot, now)
     }
 
-    /// Believes that the upstream in `slot` holds `blocks`.
+    /// Adds `blocks` to the upstream in `slot`; evicts its oldest blocks above the limit.
     pub(super) fn add(&mut self, slot: u32, blocks: &[u64]) {
-        let most = MAX_SLOT_BLOCKS.min(MAX_BLOCKS / self.feeds.len().max(1));
+        let max = MAX_SLOT_BLOCKS.min(MAX_BLOCKS / self.feeds.len().max(1));
         for block in blocks {
             let holders = self.holders.entry(*block).or_default();
             if holders.len() >= COMMON_HOLDERS || holders.contains(&slot) {
@@ -170,7 +170,7 @@
             holders.push(slot);
             let feed = &mut self.feeds[slot as usize];
             feed.blocks.push_back(*block);
-            if feed.blocks.len() > most
+            if feed.blocks.len() > max
                 && let Some(oldest) = feed.blocks.pop_front()
             {
                 self.drop_holder(slot, oldest);
@@ -178,21 +178,21 @@
         }
     }
 
-    /// Stops believing that the upstream in `slot` holds `blocks`.
+    /// Removes `blocks` from the upstream in `slot`.
     pub(super) fn remove(&mut self, slot: u32, blocks: &[u64]) {
         for block in blocks {
             self.drop_holder(slot, *block);
         }
     }
 
-    /// Leading blocks of `prefix` believed held in `slot`.
+    /// Returns the number of leading blocks of `prefix` expected in the cache of `slot`.
     pub(super) fn hit(&self, slot: u32, prefix: &[u64]) -> u32 {
         self.depth(prefix, |holders| {
             holders.len() >= COMMON_HOLDERS || holders.contains(&slot)
         })
     }
 
-    /// Holders of the longest part of `prefix` that not everyone holds.
+    /// Returns the holders of the longest indexed part of `prefix`; none if that part is common.
     pub(super) fn best_holders(&self, prefix: &[u64]) -> &[u32] {
         let depth = self.depth(prefix, |holders| !holders.is_empty());
         let Some(index) = (depth as usize).checked_sub(1) else {
@@ -204,12 +204,12 @@
         }
     }
 
-    /// Blocks that are believed held by anyone.
+    /// Returns the number of blocks with at least one holder.
     pub(super) fn len(&self) -> usize {
         self.holders.len()
     }
 
-    /// Length of the longest leading part whose last block satisfies `test`.
+    /// Returns the length of the longest leading part whose last block satisfies `test`.
     fn depth<F>(&self, prefix: &[u64], test: F) -> u32
     where
         F: Fn(&Holders) -> bool,
@@ -218,11 +218,11 @@
         u32::try_from(depth).unwrap_or(u32::MAX)
     }
 
-    fn apply_early(&mut self, slot: u32) {
+    fn apply_buffered(&mut self, slot: u32) {
         loop {
             let feed = &mut self.feeds[slot as usize];
             let next = feed.applied + 1;
-            let Some(change) = feed.early.remove(&next) else {
+            let Some(change) = feed.buffered.remove(&next) else {
                 return;
             };
             feed.applied = next;
@@ -234,18 +234,20 @@
         }
     }
 
-    /// Asks for a snapshot while events are missing.
-    fn gap(&mut self, slot: u32, now: Time) -> CacheAction {
+    /// Returns whether to request a snapshot, at most once per interval while events are missing.
+    fn check_gap(&mut self, slot: u32, now: Time) -> CacheAction {
         let feed = &mut self.feeds[slot as usize];
-        if feed.early.is_empty() {
-            feed.asked = None;
+        if feed.buffered.is_empty() {
+            feed.requested_at = None;
             return CacheAction::None;
         }
-        let paused = feed.asked.is_some_and(|at| now.since(at) < RESYNC_PAUSE);
-        if paused {
+        let throttled = feed
+            .requested_at
+            .is_some_and(|at| now.since(at) < RESYNC_INTERVAL);
+        if throttled {
             return CacheAction::None;
         }
-        feed.asked = Some(now);
+        feed.requested_at = Some(now);
         CacheAction::Resync
     }
 
--- a/decision/routing/src/placer/scene.rs
+++ b/decision/routing/src/placer/selection.rs
@@ -1,4 +1,4 @@
-//! Candidates of one decision, and what is weighed about each.
+//! Sampling and scoring of the candidates of one decision.
 
 use pimentotide_model::{RequestMeta, Time, UpstreamName};
 use rand::{Rng, RngExt};
@@ -8,24 +8,24 @@
 use super::decision::Reason;
 use super::directory::Directory;
 use super::pool::Pool;
-use super::prefix::Beliefs;
-use super::score::{Learned, View, score};
-
-/// Holders of the prefix that are weighed.
-const HOLDER_CHOICES: usize = 3;
-/// Further weight of own requests beyond the usual number: entries that each
-/// spread their own requests evenly spread them evenly together.
-const OWN_WEIGHT: f64 = 4.0;
-/// Largest lean away from an upstream, as part of the answer time.
-const LEAN: f64 = 0.05;
-/// Draws made when none of the first candidates has room.
+use super::prefix::CacheIndex;
+use super::score::{ScoreInput, ServiceStats, score};
+
+/// Largest number of holders of the prefix that are scored.
+const MAX_HOLDERS: usize = 3;
+/// Additional weight of own requests above the mean: entries that each spread
+/// their own requests evenly also spread the total evenly.
+const OWN_EXCESS_WEIGHT: f64 = 4.0;
+/// Largest bias against an upstream, as a share of the answer time.
+const MAX_BIAS: f64 = 0.05;
+/// Further draws when none of the first candidates has room.
 const EXTRA_DRAWS: usize = 12;
-/// Most agents asked for credits.
-const MAX_ASKED: usize = 12;
+/// Largest number of agents asked for credits at once.
+const MAX_CREDIT_SOURCES: usize = 12;
 
-/// Candidate under consideration, before names are copied.
+/// Scored candidate by slot number; names are copied only for the decision.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Weighed {
+pub(super) struct ScoredSlot {
     pub(super) slot: u32,
     pub(super) score: f64,
     pub(super) load: f64,
@@ -33,23 +33,23 @@
     pub(super) hit: u32,
 }
 
-/// Candidates with room, best first.
-pub(super) type Shortlist = SmallVec<[Weighed; 16]>;
+/// Scored candidates with room, best first.
+pub(super) type Shortlist = SmallVec<[ScoredSlot; 16]>;
 
-/// One decision in the making.
-pub(super) struct Scene<'a> {
+/// Inputs of one decision.
+pub(super) struct Selection<'a> {
     pub(super) directory: &'a Directory,
-    pub(super) beliefs: &'a Beliefs,
+    pub(super) cache: &'a CacheIndex,
     pub(super) settings: &'a PlacerSettings,
     pub(super) pool: &'a Pool,
-    pub(super) learned: Learned,
+    pub(super) stats: ServiceStats,
     pub(super) meta: &'a RequestMeta,
     pub(super) tried: &'a [UpstreamName],
     pub(super) now: Time,
 }
 
-impl Scene<'_> {
-    /// Weighs candidates and returns those with room, best first.
+impl Selection<'_> {
+    /// Scores candidates and returns those with room, best first.
     pub(super) fn shortlist<R>(&self, rng: &mut R) -> Shortlist
     where
         R: Rng,
@@ -73,12 +73,12 @@
     where
         R: Rng,
     {
-        let holders = self.beliefs.best_holders(&self.meta.prefix);
+        let holders = self.cache.best_holders(&self.meta.prefix);
         if holders.is_empty() {
             return;
         }
         let first = rng.random_range(0..holders.len());
-        for step in 0..holders.len().min(HOLDER_CHOICES) {
+        for step in 0..holders.len().min(MAX_HOLDERS) {
             let slot = holders[(first + step) % holders.len()];
             if self.pool.contains(slot) {
                 self.add(list, slot, self.penalty_of(slot));
@@ -110,7 +110,7 @@
         }
     }
 
-    /// Looks further when none of the first candidates has room.
+    /// Draws further candidates when none of the first has room.
     fn add_more<R>(&self, list: &mut Shortlist, rng: &mut R)
     where
         R: Rng,
@@ -130,56 +130,58 @@
         if list.iter().any(|w| w.slot == slot) {
             return;
         }
-        let Some(weighed) = self.weigh(slot, penalty) else {
+        let Some(candidate) = self.evaluate(slot, penalty) else {
             return;
         };
-        if self.has_room(&weighed) {
-            list.push(weighed);
+        if self.has_room(&candidate) {
+            list.push(candidate);
         }
     }
 
-    fn has_room(&self, weighed: &Weighed) -> bool {
-        let Some(slot) = self.directory.slot(weighed.slot) else {
+    fn has_room(&self, candidate: &ScoredSlot) -> bool {
+        let Some(slot) = self.directory.slot(candidate.slot) else {
             return false;
         };
         let refused = self.tried.contains(&slot.announcement.upstream);
-        let room = weighed.load + 1.0 <= f64::from(weighed.allowance);
+        let room = candidate.load + 1.0 <= f64::from(candidate.allowance);
         room && !refused && slot.health.admits(self.now)
     }
 
-    pub(super) fn weigh(&self, index: u32, penalty: f64) -> Option<Weighed> {
+    /// Scores the upstream in slot number `index`, whatever its room.
+    pub(super) fn evaluate(&self, index: u32, penalty: f64) -> Option<ScoredSlot> {
         let slot = self.directory.slot(index)?;
-        let mean = self.directory.mean(slot, self.pool.is_zonal());
-        let load = slot.load(mean, self.learned.turnover(), self.now);
-        let hit = self.beliefs.hit(index, &self.meta.prefix);
-        let group = self.directory.group_gap(slot);
-        let view = View {
-            load: (load + OWN_WEIGHT * slot.own_excess(mean)).max(0.0),
+        let mean = self.directory.mean_load(slot, self.pool.is_zonal());
+        let load = slot.load(mean, self.stats.turnover(), self.now);
+        let hit = self.cache.hit(index, &self.meta.prefix);
+        let group_gap = self.directory.group_gap(slot);
+        let input = ScoreInput {
+            load: (load + OWN_EXCESS_WEIGHT * slot.own_excess(mean)).max(0.0),
             allowance: f64::from(slot.allowance()),
-            missing: self.meta.prefix.len() as f64 - f64::from(hit) * slot.trust,
-            gap: slot.report.token_gap.max(group) as f64,
-            penalty: penalty + self.lean(index),
+            uncached: self.meta.prefix.len() as f64 - f64::from(hit) * slot.hit_confidence,
+            token_gap: slot.report.token_gap.max(group_gap) as f64,
+            penalty: penalty + self.bias(index),
         };
-        Some(Weighed {
+        Some(ScoredSlot {
             slot: index,
-            score: score(slot, &view, &self.learned),
+            score: score(slot, &input, &self.stats),
             load,
             allowance: slot.allowance(),
             hit,
         })
     }
 
-    /// Part of the answer time by which this entry leans away from an upstream.
+    /// Returns the bias of this entry against an upstream, as a share of the answer time.
     ///
-    /// Entries without a zone to prefer lean towards different upstreams, so
-    /// that fewer entries share each and own requests tell more of its load.
-    fn lean(&self, index: u32) -> f64 {
+    /// Without zone preferences, entries are biased towards different upstreams.
+    /// Fewer entries then share each upstream, and an entry's own requests are a
+    /// larger part of its load.
+    fn bias(&self, index: u32) -> f64 {
         if self.pool.is_zonal() {
             return 0.0;
         }
         let mixed =
             (self.settings.bias_seed ^ u64::from(index)).wrapping_mul(0x9e37_79b9_7f4a_7c15);
-        LEAN * (mixed >> 32) as f64 / f64::from(u32::MAX)
+        MAX_BIAS * (mixed >> 32) as f64 / f64::from(u32::MAX)
     }
 
     fn penalty_of(&self, index: u32) -> f64 {
@@ -189,29 +191,29 @@
         self.pool.penalty(&slot.announcement.zone)
     }
 
-    /// Why the first of the shortlist is first.
-    pub(super) fn reason(&self, shortlist: &[Weighed]) -> Reason {
+    /// Returns the reason why the first of the shortlist was chosen.
+    pub(super) fn reason(&self, shortlist: &[ScoredSlot]) -> Reason {
         let [first, rest @ ..] = shortlist else {
             return Reason::Only;
         };
         if rest.is_empty() {
             return Reason::Only;
         }
-        let longest = rest.iter().all(|w| w.hit < first.hit);
-        if longest {
+        let longest_hit = rest.iter().all(|w| w.hit < first.hit);
+        if longest_hit {
             Reason::Prefix
         } else {
             Reason::Load
         }
     }
 
-    /// Names the agents to ask for credits.
-    pub(super) fn to_ask<R>(&self, rng: &mut R) -> SmallVec<[UpstreamName; 8]>
+    /// Returns upstreams spread over the pool whose agents to ask for credits.
+    pub(super) fn credit_sources<R>(&self, rng: &mut R) -> SmallVec<[UpstreamName; 8]>
     where
         R: Rng,
     {
         let total = self.pool.len();
-        let count = total.min(MAX_ASKED);
+        let count = total.min(MAX_CREDIT_SOURCES);
         let first = rng.random_range(0..total);
         let step = (total / count).max(1);
         (0..count)
--- a/decision/routing/src/placer/slot.rs
+++ b/decision/routing/src/placer/slot.rs
@@ -1,21 +1,21 @@
-//! One upstream as an entry knows it.
+//! State of one upstream in an entry.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
 use pimentotide_model::{Announcement, LoadReport, Time};
 
-use super::directory::Mean;
+use super::directory::MeanLoad;
 use crate::health::Health;
 
-/// Changes of the own load that are remembered.
+/// Largest number of changes of the own load kept per upstream.
 const MAX_HISTORY: usize = 256;
-/// Weight of the latest verified hit in the trust in cache beliefs.
-const TRUST_WEIGHT: f64 = 0.1;
-/// Least trust in cache beliefs.
-const LEAST_TRUST: f64 = 0.1;
+/// Weight of the latest verified hit in the hit confidence.
+const CONFIDENCE_WEIGHT: f64 = 0.1;
+/// Lower bound of the hit confidence.
+const MIN_CONFIDENCE: f64 = 0.1;
 
-/// One upstream.
+/// State of one upstream, with the recent history of the entry's own load on it.
 #[derive(Debug)]
 pub(super) struct Slot {
     pub(super) announcement: Announcement,
@@ -24,15 +24,15 @@
     pub(super) health: Health,
     pub(super) group: Option<u32>,
     pub(super) report: LoadReport,
-    pub(super) trust: f64,
-    taken: Option<Time>,
-    inflight: u32,
-    base: u32,
+    pub(super) hit_confidence: f64,
+    reported_at: Option<Time>,
+    in_flight: u32,
+    reported_own: u32,
     history: VecDeque<(Time, u32)>,
 }
 
 impl Slot {
-    /// Builds the slot of an upstream that has not reported yet.
+    /// Creates the slot of an upstream that has not reported yet.
     pub(super) fn new(announcement: Announcement, generation: u32, domains: [u32; 2]) -> Self {
         Self {
             announcement,
@@ -41,114 +41,114 @@
             health: Health::default(),
             group: None,
             report: LoadReport::default(),
-            trust: 1.0,
-            taken: None,
-            inflight: 0,
-            base: 0,
+            hit_confidence: 1.0,
+            reported_at: None,
+            in_flight: 0,
+            reported_own: 0,
             history: VecDeque::with_capacity(MAX_HISTORY),
         }
     }
 
-    /// Forgets what belonged to an earlier incarnation.
+    /// Resets the state of an earlier incarnation.
     pub(super) fn restart(&mut self) {
         self.report = LoadReport::default();
-        self.taken = None;
-        self.base = 0;
-        self.trust = 1.0;
+        self.reported_at = None;
+        self.reported_own = 0;
+        self.hit_confidence = 1.0;
         self.health.reset();
     }
 
-    /// Takes a report that describes the upstream at `taken`.
-    pub(super) fn observe(&mut self, report: &LoadReport, taken: Time) -> bool {
+    /// Applies a report made at `reported_at`; returns `false` if it is stale.
+    pub(super) fn observe(&mut self, report: &LoadReport, reported_at: Time) -> bool {
         let newer =
             report.incarnation > self.report.incarnation || report.sequence > self.report.sequence;
-        let known = report.incarnation >= self.announcement.incarnation;
-        if !known || (self.taken.is_some() && !newer) {
+        let current = report.incarnation >= self.announcement.incarnation;
+        if !current || (self.reported_at.is_some() && !newer) {
             return false;
         }
         self.report = *report;
-        self.taken = Some(taken);
-        self.base = self.inflight_at(taken);
+        self.reported_at = Some(reported_at);
+        self.reported_own = self.in_flight_at(reported_at);
         true
     }
 
-    /// Counts a request of this entry.
+    /// Records the start of a request of this entry.
     pub(super) fn begin(&mut self, now: Time) {
-        self.inflight += 1;
+        self.in_flight += 1;
         self.health.record_sent(now);
-        self.remember(now);
+        self.record_history(now);
     }
 
-    /// Counts the end of a request of this entry.
+    /// Records the end of a request of this entry.
     pub(super) fn end(&mut self, now: Time) {
-        self.inflight = self.inflight.saturating_sub(1);
-        self.remember(now);
+        self.in_flight = self.in_flight.saturating_sub(1);
+        self.record_history(now);
     }
 
-    /// Requests of this entry that run.
-    pub(super) fn inflight(&self) -> u32 {
-        self.inflight
+    /// Returns the number of requests of this entry in flight.
+    pub(super) fn in_flight(&self) -> u32 {
+        self.in_flight
     }
 
-    /// Requests that may run at once; one until the first report.
+    /// Returns the limit on concurrent requests; one until the first report.
     pub(super) fn allowance(&self) -> u32 {
-        if self.taken.is_some() {
+        if self.reported_at.is_some() {
             self.report.allowance
         } else {
             1
         }
     }
 
-    /// Requests of other entries at the last report.
-    pub(super) fn others(&self) -> f64 {
+    /// Returns the requests of other entries at the last report.
+    pub(super) fn other_load(&self) -> f64 {
         let reported = self.report.running + self.report.waiting;
-        f64::from(reported.saturating_sub(self.base))
+        f64::from(reported.saturating_sub(self.reported_own))
     }
 
-    /// Requests that run or wait, as estimated now.
+    /// Estimates the running and queued requests at `now`.
     ///
-    /// Own requests are known exactly. Those of other entries are known as of
-    /// the report, and go back to the usual `mean` as the report ages.
-    pub(super) fn load(&self, mean: Mean, turnover: Duration, now: Time) -> f64 {
-        let own = f64::from(self.inflight);
-        let usual = mean.others * f64::from(self.allowance());
-        let Some(taken) = self.taken else {
-            return own + usual;
+    /// Own requests are counted exactly. Those of other entries are taken from
+    /// the report and decay to the `mean` as the report ages.
+    pub(super) fn load(&self, mean: MeanLoad, turnover: Duration, now: Time) -> f64 {
+        let own = f64::from(self.in_flight);
+        let expected = mean.others * f64::from(self.allowance());
+        let Some(reported_at) = self.reported_at else {
+            return own + expected;
         };
-        let age = now.since(taken).as_secs_f64() / turnover.as_secs_f64();
+        let age = now.since(reported_at).as_secs_f64() / turnover.as_secs_f64();
         let weight = (-age).exp();
-        own + usual + weight * (self.others() - usual)
+        own + expected + weight * (self.other_load() - expected)
     }
 
-    /// Own requests beyond what this entry usually has on an upstream of this size.
-    pub(super) fn own_excess(&self, mean: Mean) -> f64 {
-        f64::from(self.inflight) - mean.own * f64::from(self.allowance())
+    /// Returns the own requests above this entry's mean for an upstream of this allowance.
+    pub(super) fn own_excess(&self, mean: MeanLoad) -> f64 {
+        f64::from(self.in_flight) - mean.own * f64::from(self.allowance())
     }
 
-    /// Compares a believed cache hit with the one reported.
-    pub(super) fn verify(&mut self, believed: u32, cached: u32) {
-        if believed == 0 {
+    /// Updates the hit confidence by an expected and a reported cache hit.
+    pub(super) fn verify_hit(&mut self, expected: u32, cached: u32) {
+        if expected == 0 {
             return;
         }
-        let sample = (f64::from(cached) / f64::from(believed)).min(1.0);
-        let trust = self.trust + TRUST_WEIGHT * (sample - self.trust);
-        self.trust = trust.max(LEAST_TRUST);
+        let sample = (f64::from(cached) / f64::from(expected)).min(1.0);
+        let confidence = self.hit_confidence + CONFIDENCE_WEIGHT * (sample - self.hit_confidence);
+        self.hit_confidence = confidence.max(MIN_CONFIDENCE);
     }
 
-    fn remember(&mut self, now: Time) {
+    fn record_history(&mut self, now: Time) {
         if self.history.len() == MAX_HISTORY {
             self.history.pop_front();
         }
-        self.history.push_back((now, self.inflight));
+        self.history.push_back((now, self.in_flight));
     }
 
-    /// Own requests that ran at `time`, and forgets what came before.
-    fn inflight_at(&mut self, time: Time) -> u32 {
+    /// Returns the own requests in flight at `time`, and drops the older history.
+    fn in_flight_at(&mut self, time: Time) -> u32 {
         let later = self.history.partition_point(|(at, _)| *at <= time);
         if later == 0 {
-            return self.history.front().map_or(self.inflight, |(_, n)| *n);
+            return self.history.front().map_or(self.in_flight, |(_, n)| *n);
         }
         self.history.drain(..later - 1);
-        self.history.front().map_or(self.inflight, |(_, n)| *n)
+        self.history.front().map_or(self.in_flight, |(_, n)| *n)
     }
 }
