--- a/decision/routing/src/queue/drain.rs
+++ b/decision/routing/src/queue/drain.rs
@@ -1,4 +1,4 @@
-//! Rate at which a queue drains, observed from departures.
+//! Drain rate of a queue, measured between departures, and answer time.
 
 use std::time::Duration;
 
@@ -8,33 +8,33 @@
 const INTERVAL_WEIGHT: f64 = 0.1;
 /// Weight of the latest answer time.
 const ANSWER_WEIGHT: f64 = 0.1;
-/// Departures before the interval is known.
-const KNOWN_AFTER: u32 = 3;
+/// Samples needed before the interval is used.
+const MIN_SAMPLES: u32 = 3;
 
-/// Observed drain of one queue.
+/// Smoothed drain rate of one queue; times in microseconds.
 #[derive(Debug, Default)]
 pub(super) struct Drain {
     interval: f64,
     answer: f64,
     samples: u32,
-    last: Time,
+    last_at: Time,
     backlog: bool,
 }
 
 impl Drain {
-    /// Notes that the queue has something to drain from now on.
-    pub(super) fn entered(&mut self, now: Time) {
-        self.last = self.last.max(now);
+    /// Starts measuring at `now`, when an empty queue gets a request.
+    pub(super) fn start_backlog(&mut self, now: Time) {
+        self.last_at = self.last_at.max(now);
         self.backlog = false;
     }
 
-    /// Notes a departure; `more` says that others still wait.
+    /// Records a departure; `more` means that the queue is not empty yet.
     ///
-    /// Only the time between two departures of one backlog tells the rate.
-    pub(super) fn left(&mut self, more: bool, now: Time) {
-        let gap = now.since(self.last).as_micros() as f64;
+    /// Only intervals between two departures of the same backlog are samples.
+    pub(super) fn record_departure(&mut self, more: bool, now: Time) {
+        let gap = now.since(self.last_at).as_micros() as f64;
         let backlog = std::mem::replace(&mut self.backlog, more);
-        self.last = now;
+        self.last_at = now;
         if !backlog {
             return;
         }
@@ -43,21 +43,21 @@
         self.interval += weight * (gap - self.interval);
     }
 
-    /// Takes back the latest departure.
-    pub(super) fn undo(&mut self, now: Time) {
+    /// Reverts the count of the latest departure.
+    pub(super) fn undo_departure(&mut self, now: Time) {
         self.samples = self.samples.saturating_sub(1);
-        self.entered(now);
+        self.start_backlog(now);
     }
 
-    /// Lengthens the interval while nothing leaves.
+    /// Lengthens the interval while there are no departures.
     pub(super) fn advance(&mut self, now: Time) {
-        let gap = now.since(self.last).as_micros() as f64;
-        if self.samples >= KNOWN_AFTER && gap > self.interval {
+        let gap = now.since(self.last_at).as_micros() as f64;
+        if self.samples >= MIN_SAMPLES && gap > self.interval {
             self.interval += INTERVAL_WEIGHT * (gap - self.interval);
         }
     }
 
-    /// Notes how long an answer took.
+    /// Records the time from sending a request to its answer.
     pub(super) fn observe_answer(&mut self, taken: Duration) {
         let sample = taken.as_micros() as f64;
         if self.answer == 0.0 {
@@ -67,18 +67,18 @@
         }
     }
 
-    /// Usual time from sending a request to its answer.
+    /// Returns the smoothed time from sending a request to its answer.
     pub(super) fn answer_time(&self) -> Duration {
         Duration::from_micros(self.answer as u64)
     }
 
-    /// Interval between departures; zero if not known.
+    /// Returns the interval between departures; zero until it is measured.
     pub(super) fn interval(&self) -> Duration {
-        self.known_interval().unwrap_or_default()
+        self.measured_interval().unwrap_or_default()
     }
 
-    /// Interval between departures, once enough have been seen.
-    pub(super) fn known_interval(&self) -> Option<Duration> {
-        (self.samples >= KNOWN_AFTER).then(|| Duration::from_micros(self.interval as u64))
+    /// Returns the interval between departures, once there are enough samples.
+    pub(super) fn measured_interval(&self) -> Option<Duration> {
+        (self.samples >= MIN_SAMPLES).then(|| Duration::from_micros(self.interval as u64))
     }
 }
--- a/decision/routing/src/queue/flow.rs
+++ b/decision/routing/src/queue/flow.rs
@@ -1,4 +1,4 @@
-//! Requests of one priority, shared among workspaces by virtual time.
+//! Queue of one priority: weighted fair queueing over workspaces by virtual time.
 
 use std::collections::BTreeMap;
 
@@ -9,7 +9,7 @@
 /// Virtual time that one request costs a workspace of weight 1.
 const REQUEST_COST: u64 = 1 << 20;
 
-/// Place of a request within its priority.
+/// Position of a request within its priority.
 #[derive(Clone, Debug)]
 pub(super) struct Position {
     workspace: WorkspaceName,
@@ -27,7 +27,7 @@
 #[derive(Debug)]
 pub(super) struct Class<T> {
     flows: BTreeMap<WorkspaceName, Flow<T>>,
-    clock: u64,
+    virtual_time: u64,
     count: usize,
 }
 
@@ -35,43 +35,44 @@
     fn default() -> Self {
         Self {
             flows: BTreeMap::new(),
-            clock: 0,
+            virtual_time: 0,
             count: 0,
         }
     }
 }
 
 impl<T> Class<T> {
-    /// Requests that wait.
+    /// Returns the number of queued requests.
     pub(super) fn len(&self) -> usize {
         self.count
     }
 
-    /// Whether nothing waits.
+    /// Returns whether no request is queued.
     pub(super) fn is_empty(&self) -> bool {
         self.count == 0
     }
 
     /// Adds a request to the flow of its workspace.
     pub(super) fn push(&mut self, queued: Queued<T>, weight: u32) {
-        let clock = self.clock;
+        let virtual_time = self.virtual_time;
         let flow = self
             .flows
             .entry(queued.workspace.clone())
             .or_insert_with(|| Flow {
                 items: BTreeMap::new(),
                 weight,
-                start: clock,
+                start: virtual_time,
             });
         flow.weight = weight;
         if flow.items.is_empty() {
-            flow.start = flow.start.max(clock);
+            flow.start = flow.start.max(virtual_time);
         }
-        flow.items.insert((queued.deadline, queued.turn), queued);
+        flow.items
+            .insert((queued.deadline, queued.sequence), queued);
         self.count += 1;
     }
 
-    /// Adds a request that was taken out, and refunds its cost.
+    /// Re-adds a popped request and refunds its cost.
     pub(super) fn requeue(&mut self, queued: Queued<T>, weight: u32) {
         let workspace = queued.workspace.clone();
         self.push(queued, weight);
@@ -80,7 +81,7 @@
         }
     }
 
-    /// Position of the request that goes next.
+    /// Returns the position of the next request to serve.
     fn first(&self) -> Option<Position> {
         self.flows
             .iter()
@@ -92,7 +93,7 @@
             })
     }
 
-    /// Position of the last request of the workspace furthest over its share.
+    /// Returns the position of the last request of the workspace with the most requests per weight.
     pub(super) fn last(&self) -> Option<Position> {
         self.flows
             .iter()
@@ -101,43 +102,43 @@
             .and_then(|(w, f)| position_of_last(w, f))
     }
 
-    /// Last request of a workspace that holds more of the queue than
-    /// `workspace` would with one more.
+    /// Returns the last request of a workspace that would still have more requests
+    /// per weight than `workspace` with one more.
     pub(super) fn over_share(&self, workspace: &WorkspaceName, weight: u32) -> Option<Position> {
         let own = self.flows.get(workspace).map_or(0, |f| f.items.len()) as u64 + 1;
         let last = self.last()?;
         let flow = self.flows.get(&last.workspace)?;
-        let held = flow.items.len() as u64;
-        let over = held * u64::from(weight) > own * u64::from(flow.weight);
+        let queued = flow.items.len() as u64;
+        let over = queued * u64::from(weight) > own * u64::from(flow.weight);
         (over && last.workspace != *workspace).then_some(last)
     }
 
-    /// Takes a request out without charging its workspace.
+    /// Removes a request without charging its workspace.
     pub(super) fn remove(&mut self, position: &Position) -> Option<Queued<T>> {
         let flow = self.flows.get_mut(&position.workspace)?;
         let queued = flow.items.remove(&position.key)?;
         self.count -= 1;
-        self.forget_idle();
+        self.evict_idle();
         Some(queued)
     }
 
-    /// Takes out the request that goes next and charges its workspace.
+    /// Removes the next request to serve and charges its workspace.
     pub(super) fn pop(&mut self) -> Option<Queued<T>> {
         let position = self.first()?;
         let flow = self.flows.get_mut(&position.workspace)?;
-        self.clock = self.clock.max(flow.start);
+        self.virtual_time = self.virtual_time.max(flow.start);
         flow.start += REQUEST_COST / u64::from(flow.weight.max(1));
         self.remove(&position)
     }
 
-    /// Position of the request with `id`.
+    /// Returns the position of the request with `id`.
     pub(super) fn find(&self, id: RequestId) -> Option<Position> {
         self.iter()
             .find(|(_, queued)| queued.id == id)
             .map(|(position, _)| position)
     }
 
-    /// All requests with their positions.
+    /// Iterates over all requests and their positions.
     pub(super) fn iter(&self) -> impl Iterator<Item = (Position, &Queued<T>)> {
         self.flows.iter().flat_map(|(workspace, flow)| {
             flow.items.iter().map(move |(key, queued)| {
@@ -150,7 +151,7 @@
         })
     }
 
-    /// Workspaces with requests: how many, and the first deadline.
+    /// Iterates over workspaces with queued requests: their number and first deadline.
     pub(super) fn backlog(&self) -> impl Iterator<Item = (&WorkspaceName, usize, Deadline)> {
         self.flows.iter().filter_map(|(workspace, flow)| {
             let ((deadline, _), _) = flow.items.first_key_value()?;
@@ -158,7 +159,7 @@
         })
     }
 
-    /// Requests that would go before a new one of `workspace`.
+    /// Estimates the requests served before a new one of `workspace`.
     pub(super) fn ahead(&self, workspace: &WorkspaceName, weight: u32) -> f64 {
         let own = self.flows.get(workspace).map_or(0, |f| f.items.len()) as f64;
         let rounds = (own + 1.0) / f64::from(weight);
@@ -171,11 +172,11 @@
         own + others
     }
 
-    /// Forgets flows that are empty and have used no more than their share.
-    fn forget_idle(&mut self) {
-        let clock = self.clock;
+    /// Removes empty flows that are not ahead of the virtual time.
+    fn evict_idle(&mut self) {
+        let virtual_time = self.virtual_time;
         self.flows
-            .retain(|_, f| !f.items.is_empty() || f.start > clock);
+            .retain(|_, f| !f.items.is_empty() || f.start > virtual_time);
     }
 }
 
--- a/decision/routing/src/queue/mod.rs
+++ b/decision/routing/src/queue/mod.rs
@@ -1,10 +1,10 @@
 //! Bounded fair queue of one service in one entry.
 //!
-//! Higher priorities go first. Within a priority, workspaces share by weighted
-//! virtual time, and the requests of a workspace go by deadline. A request
-//! that cannot make its deadline, judged by the rate at which the queue has
-//! drained, is refused when it arrives or shed as soon as that shows, so that
-//! the refusal reaches the caller while the caller can still act on it.
+//! Higher priorities are served first. Within a priority, workspaces share by
+//! weighted virtual time, and each workspace's requests are served by deadline.
+//! A request that would miss its deadline at the observed drain rate is refused
+//! on arrival, or shed as soon as that is predicted, so that the refusal reaches
+//! the caller while it can still act on it.
 
 mod drain;
 mod flow;
@@ -23,14 +23,14 @@
 use drain::Drain;
 use flow::{Class, Position};
 
-/// Shortest time after which a refused caller is told to come back.
-const LEAST_RETRY: Duration = Duration::from_millis(200);
-/// Longest time after which a refused caller is told to come back.
-const MOST_RETRY: Duration = Duration::from_secs(30);
-/// How many times its part each agent is asked for.
-const OVERASK: usize = 2;
+/// Shortest retry-after time of a shed request.
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(200);
+/// Longest retry-after time of a shed request.
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(30);
+/// Demand reported to each agent, as a multiple of its even share.
+const DEMAND_FACTOR: usize = 2;
 
-/// A request that waits.
+/// A queued request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Queued<T> {
     /// Identifier of the request.
@@ -41,11 +41,11 @@
     pub priority: Priority,
     /// Time by which it must be answered.
     pub deadline: Deadline,
-    /// When it entered the queue.
+    /// Time at which it entered the queue.
     pub arrived: Time,
-    /// What the entry keeps with it.
+    /// Caller's data, returned with the request.
     pub item: T,
-    turn: u64,
+    sequence: u64,
 }
 
 /// Why a request is refused or shed.
@@ -54,32 +54,32 @@
     /// The queue is full.
     #[display("queue full")]
     Full,
-    /// Another workspace has less than its share of the full queue.
+    /// The queue is full and another workspace is below its share.
     #[display("over share")]
     OverShare,
-    /// It would not be answered before its deadline.
+    /// The request would miss its deadline.
     #[display("deadline")]
     Deadline,
-    /// It has waited for as long as the profile allows.
+    /// The wait reaches the limit of the profile.
     #[display("waited")]
     Waited,
 }
 
-/// A request that leaves the queue without having run.
+/// A request refused or shed without having run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Shed<T> {
-    /// The request.
+    /// Request that was shed.
     pub queued: Queued<T>,
-    /// Why.
+    /// Why it was shed.
     pub reason: ShedReason,
-    /// When asking again may help.
+    /// Time after which the caller may retry.
     pub retry: Duration,
 }
 
 impl<T> Shed<T> {
-    /// Builds the failure that the caller is given.
+    /// Builds the failure to return to the caller.
     pub fn failure(&self) -> Failure {
-        let detail = format!("not queued any more: {}", self.reason);
+        let detail = format!("shed from the queue: {}", self.reason);
         Failure::new(ErrorKind::Overloaded, detail).with_retry(self.retry)
     }
 }
@@ -93,11 +93,11 @@
     classes: BTreeMap<Reverse<Priority>, Class<T>>,
     count: usize,
     drain: Drain,
-    next: u64,
+    next_sequence: u64,
 }
 
 impl<T> FairQueue<T> {
-    /// Opens an empty queue.
+    /// Creates an empty queue.
     pub fn open(
         service: ServiceName,
         policy: QueuePolicy,
@@ -110,29 +110,29 @@
             classes: BTreeMap::new(),
             count: 0,
             drain: Drain::default(),
-            next: 0,
+            next_sequence: 0,
         }
     }
 
-    /// Puts other bounds and shares in force.
+    /// Replaces the policy and the shares; queued requests stay.
     pub fn set_policy(&mut self, policy: QueuePolicy, shares: BTreeMap<WorkspaceName, u32>) {
         self.policy = policy;
         self.shares = shares;
     }
 
-    /// Requests that wait.
+    /// Returns the number of queued requests.
     pub fn len(&self) -> usize {
         self.count
     }
 
-    /// Whether nothing waits.
+    /// Returns whether the queue is empty.
     pub fn is_empty(&self) -> bool {
         self.count == 0
     }
 
-    /// Takes a request in; returns those shed, which may be the request itself.
+    /// Enqueues a request; returns those shed, which may include the request itself.
     pub fn push(&mut self, meta: &RequestMeta, item: T, now: Time) -> Vec<Shed<T>> {
-        self.next += 1;
+        self.next_sequence += 1;
         let queued = Queued {
             id: meta.id,
             workspace: meta.workspace.clone(),
@@ -140,10 +140,10 @@
             deadline: meta.deadline,
             arrived: now,
             item,
-            turn: self.next,
+            sequence: self.next_sequence,
         };
         let wait = self.expected_wait(&queued.workspace, queued.priority);
-        if let Some(reason) = self.hopeless(&queued, wait, now) {
+        if let Some(reason) = self.late_reason(&queued, wait, now) {
             return vec![self.shed(queued, reason, wait)];
         }
         if self.count < self.policy.bound as usize {
@@ -153,7 +153,7 @@
         vec![self.displace(queued, wait, now)]
     }
 
-    /// Takes out the request that goes next.
+    /// Removes and returns the next request to serve.
     pub fn pop(&mut self, now: Time) -> Option<Queued<T>> {
         let mut class = self.classes.first_entry()?;
         let queued = class.get_mut().pop()?;
@@ -161,13 +161,13 @@
             class.remove();
         }
         self.count -= 1;
-        self.drain.left(self.count > 0, now);
+        self.drain.record_departure(self.count > 0, now);
         Some(queued)
     }
 
-    /// Puts a request back at the front after a refusal that was "not run".
+    /// Returns a request to its former position after a refusal that was "not run".
     pub fn requeue(&mut self, queued: Queued<T>, now: Time) {
-        self.drain.undo(now);
+        self.drain.undo_departure(now);
         let weight = self.weight(&queued.workspace);
         self.count += 1;
         self.classes
@@ -176,7 +176,7 @@
             .requeue(queued, weight);
     }
 
-    /// Takes out a request whose caller went away.
+    /// Removes a request that its caller cancelled.
     pub fn cancel(&mut self, id: RequestId) -> Option<Queued<T>> {
         let found = self
             .classes
@@ -185,12 +185,12 @@
         self.remove(found.0, &found.1)
     }
 
-    /// Sheds all requests that can no longer be answered in time.
+    /// Sheds all requests that would miss their deadline or have waited too long.
     pub fn shed_late(&mut self, now: Time) -> Vec<Shed<T>> {
         if self.count > 0 {
             self.drain.advance(now);
         }
-        let typical = self.drain.interval();
+        let interval = self.drain.interval();
         let mut late = Vec::new();
         for (key, class) in &self.classes {
             for (position, queued) in class.iter() {
@@ -203,7 +203,7 @@
                 }
             }
         }
-        let wait = typical * u32::try_from(self.count).unwrap_or(u32::MAX);
+        let wait = interval * u32::try_from(self.count).unwrap_or(u32::MAX);
         late.into_iter()
             .filter_map(|(key, position, reason)| {
                 let queued = self.remove(key, &position)?;
@@ -212,14 +212,14 @@
             .collect()
     }
 
-    /// Tells the queue how long an answer takes once a request is sent.
+    /// Records the time from sending a request to its answer.
     pub fn observe_answer(&mut self, taken: Duration) {
         self.drain.observe_answer(taken);
     }
 
-    /// Demand to state to each of `agents`: one line a workspace and priority.
+    /// Returns the demand to report to each of `agents`, one per workspace and priority.
     ///
-    /// Each agent is asked for more than its part, because not all have room.
+    /// It exceeds an even share per agent, because some have no room.
     pub fn demand(&self, agents: usize, now: Time) -> EntryDemand {
         let mut demand = EntryDemand::new();
         for (Reverse(priority), class) in &self.classes {
@@ -229,16 +229,16 @@
                     workspace: workspace.clone(),
                     priority: *priority,
                     remaining: deadline.since(now),
-                    count: part(count, agents),
+                    count: demand_per_agent(count, agents),
                 });
             }
         }
         demand
     }
 
-    /// Time that a request of `workspace` would wait if it came now.
+    /// Estimates the wait of a request that arrives now; zero until the drain rate is measured.
     pub fn expected_wait(&self, workspace: &WorkspaceName, priority: Priority) -> Duration {
-        let Some(interval) = self.drain.known_interval() else {
+        let Some(interval) = self.drain.measured_interval() else {
             return Duration::ZERO;
         };
         let mut ahead = 0.0;
@@ -259,7 +259,7 @@
     fn insert(&mut self, queued: Queued<T>, now: Time) {
         let weight = self.weight(&queued.workspace);
         if self.count == 0 {
-            self.drain.entered(now);
+            self.drain.start_backlog(now);
         }
         self.count += 1;
         self.classes
@@ -278,15 +278,15 @@
         queued
     }
 
-    /// Why a request that would wait for `wait` cannot be answered in time.
-    fn hopeless(&self, queued: &Queued<T>, wait: Duration, now: Time) -> Option<ShedReason> {
+    /// Returns why a request with the expected `wait` would be late, if it would.
+    fn late_reason(&self, queued: &Queued<T>, wait: Duration, now: Time) -> Option<ShedReason> {
         if now + wait + self.drain.answer_time() >= queued.deadline {
             return Some(ShedReason::Deadline);
         }
         (wait >= self.policy.wait).then_some(ShedReason::Waited)
     }
 
-    /// Makes room in a full queue for `queued`, or sheds it.
+    /// Evicts a request from a full queue in favour of `queued`, or sheds `queued`.
     fn displace(&mut self, queued: Queued<T>, wait: Duration, now: Time) -> Shed<T> {
         let Some((key, class)) = self.classes.last_key_value() else {
             return self.shed(queued, ShedReason::Full, wait);
@@ -298,25 +298,25 @@
             std::cmp::Ordering::Equal => class.over_share(&queued.workspace, weight),
             std::cmp::Ordering::Greater => None,
         };
-        let Some(taken) = victim.and_then(|v| self.remove(key, &v)) else {
+        let Some(evicted) = victim.and_then(|v| self.remove(key, &v)) else {
             return self.shed(queued, ShedReason::Full, wait);
         };
         self.insert(queued, now);
-        self.shed(taken, ShedReason::OverShare, wait)
+        self.shed(evicted, ShedReason::OverShare, wait)
     }
 
-    /// Sheds a request, with the time in which the queue ahead of it drains.
+    /// Builds the shed request, with the expected drain time as retry-after.
     fn shed(&self, queued: Queued<T>, reason: ShedReason, wait: Duration) -> Shed<T> {
         Shed {
             queued,
             reason,
-            retry: wait.clamp(LEAST_RETRY, MOST_RETRY),
+            retry: wait.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER),
         }
     }
 }
 
-/// Requests out of `count` that one of `agents` is asked to take.
-fn part(count: usize, agents: usize) -> u32 {
-    let part = (count * OVERASK).div_ceil(agents.max(1));
-    u32::try_from(part.min(count)).unwrap_or(u32::MAX)
+/// Returns the part of `count` to request from each of `agents`.
+fn demand_per_agent(count: usize, agents: usize) -> u32 {
+    let demand = (count * DEMAND_FACTOR).div_ceil(agents.max(1));
+    u32::try_from(demand.min(count)).unwrap_or(u32::MAX)
 }
--- a/decision/routing/tests/it/advice.rs
+++ b/decision/routing/tests/it/advice.rs
@@ -1,4 +1,4 @@
-//! Entry addresses given to callers.
+//! Entry addresses returned to callers.
 
 use std::collections::BTreeMap;
 
@@ -20,35 +20,35 @@
 }
 
 #[test]
-fn nearest_first_without_those_that_stop_or_are_silent() {
+fn nearest_entries_come_first_without_stopping_or_silent_ones() {
     let mut entries = entries();
     entries[0].stopping = true;
     entries[3].last_seen = at(1_000);
     let zone = ZoneName::from(ZONES[0]);
-    let out = |z: &ZoneName| {
+    let standing = |z: &ZoneName| {
         if z.as_str() == ZONES[1] {
             AdminState::Out
         } else {
             AdminState::In
         }
     };
-    let advice = advise(Some(&zone), &entries, out, at(11_000), &mut rng());
+    let advice = advise(Some(&zone), &entries, standing, at(11_000), &mut rng());
     assert_eq!(advice.addresses[0], "127.0.0.1:8006");
     assert_eq!(advice.addresses.len(), 4);
-    let none = advise(
+    let all_out = advise(
         Some(&zone),
         &entries,
         |_| AdminState::Out,
         at(11_000),
         &mut rng(),
     );
-    assert_eq!(none.addresses.len(), 7);
-    let silent = advise(None, &entries, |_| AdminState::In, at(99_000), &mut rng());
+    assert_eq!(all_out.addresses.len(), 7);
+    let silent = advise(None, &entries, |_| Standing::In, at(99_000), &mut rng());
     assert_eq!(silent.addresses.len(), 9);
 }
 
 #[test]
-fn first_addresses_spread_evenly() {
+fn first_address_is_spread_evenly() {
     let entries = entries();
     let mut rng = rng();
     let mut firsts: BTreeMap<String, u32> = BTreeMap::new();
--- a/decision/routing/tests/it/cache.rs
+++ b/decision/routing/tests/it/cache.rs
@@ -1,4 +1,4 @@
-//! Beliefs about caches, with events that come late, out of order or not at all.
+//! Index of cached blocks, with events that are late, out of order or lost.
 
 use std::collections::BTreeSet;
 
@@ -26,8 +26,8 @@
     CacheChange::Stored(range.collect())
 }
 
-/// Hit believed for `prefix` on the upstream, read off a decision that weighs it.
-fn believed(placer: &mut Placer, index: usize, prefix: &[u64]) -> u32 {
+/// Returns the hit expected for `prefix` on the upstream, taken from a decision for it.
+fn expected_hit(placer: &mut Placer, index: usize, prefix: &[u64]) -> u32 {
     let mut request = meta(1, "w");
     request.prefix = prefix.to_vec();
     let tried: Vec<_> = (0..2).filter(|i| *i != index).map(upstream).collect();
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn late_events_are_put_in_order() {
+fn late_events_are_applied_in_order() {
     let mut placer = placer(2);
     let up = upstream(1);
     assert_eq!(
@@ -60,11 +60,11 @@
         placer.observe_cache(&up, event(1, stored(0..4)), at(0)),
         CacheAction::None
     );
-    assert_eq!(believed(&mut placer, 1, &[0, 1, 2, 3]), 3);
+    assert_eq!(expected_hit(&mut placer, 1, &[0, 1, 2, 3]), 3);
 }
 
 #[test]
-fn a_snapshot_closes_a_gap() {
+fn snapshot_closes_a_gap() {
     let mut placer = placer(2);
     let up = upstream(1);
     placer.observe_cache(&up, event(1, stored(0..2)), at(0));
@@ -85,19 +85,19 @@
         placer.observe_snapshot(&up, &snapshot, at(0)),
         CacheAction::None
     );
-    assert_eq!(believed(&mut placer, 1, &[0, 1, 2, 3, 4, 5, 6]), 6);
+    assert_eq!(expected_hit(&mut placer, 1, &[0, 1, 2, 3, 4, 5, 6]), 6);
 }
 
 #[test]
-fn the_holder_of_a_long_prefix_is_chosen() {
+fn holder_of_a_long_prefix_is_chosen() {
     let mut placer = placer(12);
     placer.observe_cache(&upstream(7), event(1, stored(0..64)), at(0));
     let mut request = meta(1, "w");
     request.prefix = (0..64).collect();
-    let mut teach = meta(2, "w");
-    teach.prefix = (100..164).collect();
+    let mut training = meta(2, "w");
+    training.prefix = (100..164).collect();
     let mut rng = rng();
-    let Placement::Chosen(first) = placer.place(&teach, &[], at(1), &mut rng) else {
+    let Placement::Chosen(first) = placer.place(&training, &[], at(1), &mut rng) else {
         panic!("not placed");
     };
     let done = pimentotide_routing::Finished {
@@ -107,7 +107,7 @@
         tokens: 100,
         cached: Some(0),
     };
-    placer.finish(first.ticket, &teach, &done, at(2));
+    placer.finish(first.ticket, &training, &done, at(2));
     let Placement::Chosen(decision) = placer.place(&request, &[], at(3), &mut rng) else {
         panic!("not placed");
     };
@@ -118,9 +118,9 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(200))]
 
-    /// Whatever order and gaps the events have, beliefs end up as the cache is.
+    /// The index equals the cache after all events, whatever their order and gaps.
     #[test]
-    fn beliefs_heal_after_gaps(
+    fn index_matches_the_cache_after_gaps(
         changes in prop::collection::vec((any::<bool>(), 0_u64..24, 1_u64..6), 1..60),
         lost in prop::collection::btree_set(0_usize..60, 0..20),
         swaps in prop::collection::vec(0_usize..60, 0..20),
@@ -163,7 +163,7 @@
             }
         }
         for block in 0..32 {
-            let hit = believed(&mut placer, 1, &[block]);
+            let hit = expected_hit(&mut placer, 1, &[block]);
             prop_assert_eq!(hit == 1, truth.contains(&block), "block {}", block);
         }
     }
--- a/decision/routing/tests/it/fixture.rs
+++ b/decision/routing/tests/it/fixture.rs
@@ -1,4 +1,4 @@
-//! Declarations, announcements and requests that the tests share.
+//! Declarations, announcements and requests shared by the tests.
 
 use std::time::Duration;
 
@@ -94,7 +94,7 @@
     }
 }
 
-/// Placer in the first zone that knows `count` idle upstreams of capacity 16.
+/// Placer in the first zone with `count` idle upstreams of capacity 16.
 pub(crate) fn placer(count: usize) -> Placer {
     let instance = InstanceName::from("e1");
     let mut placer = Placer::open(PlacerSettings::new(instance, ZoneName::from(ZONES[0])));
@@ -108,7 +108,7 @@
     placer
 }
 
-/// Gate of an upstream of capacity 8 with a lease that does not run out.
+/// Gate of an upstream of capacity 8 with a lease that does not expire.
 pub(crate) fn gate() -> Gate {
     let announcement = announcement(0, 8);
     let settings = GateSettings {
@@ -152,7 +152,7 @@
     }
 }
 
-/// Warms a gate up to its full limit; returns the time then.
+/// Completes requests until the gate reaches its full limit; returns the time reached.
 pub(crate) fn warm(gate: &mut Gate) -> Time {
     let mut now = at(0);
     while gate.allowance() < 8 {
--- a/decision/routing/tests/it/gate.rs
+++ b/decision/routing/tests/it/gate.rs
@@ -14,26 +14,26 @@
 }
 
 #[test]
-fn refusals_name_their_kind() {
+fn refusals_report_their_kind() {
     let announced = announcement(0, 8);
-    let ask = admission("e1", "w");
+    let request = admission("e1", "w");
     let mut kinds = Vec::new();
 
-    let mut lapsed = gate();
-    lapsed.set_policy(
+    let mut out_of_service = gate();
+    out_of_service.set_policy(
         GatePolicy::of(&zone_out(declarations(profile()), "accra-a"), &announced),
         8,
         at(1),
     );
-    kinds.push(("zone out", kind_of(lapsed.admit(&ask, at(2)))));
+    kinds.push(("zone out", kind_of(out_of_service.admit(&request, at(2)))));
 
-    let mut leaving = gate();
-    leaving.drain();
-    kinds.push(("leaving", kind_of(leaving.admit(&ask, at(2)))));
+    let mut draining = gate();
+    draining.drain();
+    kinds.push(("leaving", kind_of(draining.admit(&request, at(2)))));
 
     let mut full = gate();
-    let _held = full.admit(&ask, at(2)).expect("admitted");
-    kinds.push(("full", kind_of(full.admit(&ask, at(2)))));
+    let _held = full.admit(&request, at(2)).expect("admitted");
+    kinds.push(("full", kind_of(full.admit(&request, at(2)))));
 
     let mut changed = gate();
     let mut other = profile();
@@ -41,23 +41,23 @@
     let mut declared = declarations(other);
     declared.revision = Revision(5);
     changed.set_policy(GatePolicy::of(&declared, &announced), 8, at(1));
-    kinds.push(("stale", kind_of(changed.admit(&ask, at(2)))));
+    kinds.push(("stale", kind_of(changed.admit(&request, at(2)))));
 
     let settings = pimentotide_routing::GateSettings {
         incarnation: Incarnation(1),
         capacity: 8,
         policy: GatePolicy::of(&declarations(profile()), &announced),
     };
-    let mut cut_off = pimentotide_routing::Gate::open(settings, at(0));
-    kinds.push(("no lease", kind_of(cut_off.admit(&ask, at(2)))));
-    cut_off.renew(at(10));
-    assert!(cut_off.admit(&ask, at(9)).is_ok());
-    kinds.push(("lease lapsed", kind_of(cut_off.admit(&ask, at(11)))));
+    let mut unleased = pimentotide_routing::Gate::open(settings, at(0));
+    kinds.push(("no lease", kind_of(unleased.admit(&request, at(2)))));
+    unleased.renew(at(10));
+    assert!(unleased.admit(&request, at(9)).is_ok());
+    kinds.push(("lease lapsed", kind_of(unleased.admit(&request, at(11)))));
     insta::assert_debug_snapshot!(kinds);
 }
 
 #[test]
-fn unrelated_revisions_do_not_refuse() {
+fn unrelated_revisions_cause_no_refusals() {
     let mut gate = gate();
     let announced = announcement(0, 8);
     let elsewhere = zone_out(declarations(profile()), "tema-c");
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn allowance_grows_by_completions_and_falls_by_signs() {
+fn allowance_grows_with_completions_and_falls_on_signals() {
     let mut gate = gate();
     let mut trace = Vec::new();
     let mut now = at(0);
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn slow_first_tokens_are_a_sign_of_coldness() {
+fn slow_first_tokens_halve_then_restart_the_allowance() {
     let mut gate = gate();
     let mut now = warm(&mut gate);
     assert_eq!(gate.report().warmth, Warmth::Warm);
@@ -149,7 +149,7 @@
 }
 
 #[test]
-fn freed_places_go_by_priority_share_and_deadline() {
+fn freed_slots_are_granted_by_priority_share_and_deadline() {
     let mut gate = gate();
     let now = warm(&mut gate);
     let permits: Vec<_> = (0..8)
@@ -173,24 +173,24 @@
 }
 
 #[test]
-fn unused_credits_lapse_and_given_back_ones_go_on() {
+fn unused_credits_expire_and_returned_ones_are_granted_again() {
     let mut gate = gate();
     let now = warm(&mut gate);
     let soon = Duration::from_secs(1);
     let grants = gate.demand(&name("e1"), vec![demand("w", soon, 8)], now);
     assert_eq!(grants.len(), 8);
     gate.demand(&name("e2"), vec![demand("w", soon, 2)], now);
-    let passed = gate.return_credit(grants[0].credit, now);
-    assert_eq!(passed[0].entry, name("e2"));
+    let regranted = gate.return_credit(grants[0].credit, now);
+    assert_eq!(regranted[0].entry, name("e2"));
     let later = now + Duration::from_millis(250);
-    let lapsed = gate.tick(later);
-    assert_eq!(lapsed.len(), 1);
+    let after_expiry = gate.tick(later);
+    assert_eq!(after_expiry.len(), 1);
     assert_eq!(gate.report().running, 1);
     assert_eq!(gate.next_expiry(), Some(later + Duration::from_millis(200)));
 }
 
 #[test]
-fn drained_after_the_last_completion() {
+fn gate_is_drained_after_the_last_completion() {
     let mut gate = gate();
     let permit = gate.admit(&admission("e1", "w"), at(0)).expect("admitted");
     gate.drain();
--- a/decision/routing/tests/it/gate_limits.rs
+++ b/decision/routing/tests/it/gate_limits.rs
@@ -1,4 +1,6 @@
-//! Whatever happens, no gate lets more run than its upstream bears.
+//! Property tests: a gate never runs more requests than the allowance, the ramp
+//! and the completions since the start permit, under any sequence of requests,
+//! credits, entry crashes, restarts and signals.
 
 use std::time::Duration;
 
@@ -11,7 +13,7 @@
 const LIMIT: u32 = 8;
 const INITIAL: u32 = 1;
 const COMPLETIONS: u32 = 2;
-const LEAST: Duration = Duration::from_secs(2);
+const MIN_WARMUP: Duration = Duration::from_secs(2);
 
 #[derive(Clone, Debug)]
 enum Step {
@@ -19,7 +21,7 @@
     Send { entry: usize, credit: bool },
     Demand { entry: usize, count: u32 },
     Complete { which: usize, outcome: usize },
-    Die(usize),
+    Crash(usize),
     Restart,
     Signal(usize),
     Tick,
@@ -32,15 +34,15 @@
         4 => (0_usize..9, 0_u32..6).prop_map(|(entry, count)| Step::Demand { entry, count }),
         8 => (any::<usize>(), 0_usize..20)
             .prop_map(|(which, outcome)| Step::Complete { which, outcome }),
-        1 => (0_usize..9).prop_map(Step::Die),
+        1 => (0_usize..9).prop_map(Step::Crash),
         1 => Just(Step::Restart),
         1 => (0_usize..6).prop_map(Step::Signal),
         2 => Just(Step::Tick),
     ]
 }
 
-/// Ledger kept apart from the gate's own counters.
-struct Ledger {
+/// Reference model, independent of the gate's own counters.
+struct Model {
     gate: Gate,
     now: Time,
     permits: Vec<Permit>,
@@ -50,7 +52,7 @@
     good: u32,
 }
 
-impl Ledger {
+impl Model {
     fn new() -> Self {
         Self {
             gate: gate(),
@@ -63,9 +65,9 @@
         }
     }
 
-    /// Most that the upstream bears, from what the ledger has seen since the start.
+    /// Returns the bound on running requests by the time and completions since the start.
     fn bound(&self) -> u32 {
-        let part = self.now.since(self.started).as_secs_f64() / LEAST.as_secs_f64();
+        let part = self.now.since(self.started).as_secs_f64() / MIN_WARMUP.as_secs_f64();
         let ramp = INITIAL + (f64::from(LIMIT - INITIAL) * part.min(1.0)) as u32;
         ramp.min(INITIAL + self.good / COMPLETIONS)
     }
@@ -78,13 +80,13 @@
                 let remaining = Duration::from_secs(5);
                 let demand = vec![demand(&format!("w{}", entry % 4), remaining, count)];
                 let grants = self.gate.demand(&name(entry), demand, self.now);
-                self.keep(grants);
+                self.store_credits(grants);
             }
             Step::Complete { which, outcome } => self.complete(which, outcome),
-            Step::Die(entry) => {
+            Step::Crash(entry) => {
                 self.credits.retain(|(e, _)| *e != entry);
                 let grants = self.gate.remove_entry(&name(entry), self.now);
-                self.keep(grants);
+                self.store_credits(grants);
             }
             Step::Restart => {
                 self.incarnation = self.incarnation.next();
@@ -95,7 +97,7 @@
             Step::Signal(kind) => self.signal(kind),
             Step::Tick => {
                 let grants = self.gate.tick(self.now);
-                self.keep(grants);
+                self.store_credits(grants);
             }
         }
         prop_assert_eq!(self.gate.running() as usize, self.permits.len());
@@ -103,12 +105,12 @@
     }
 
     fn send(&mut self, entry: usize, credit: bool) -> Result<(), TestCaseError> {
-        let mut ask = admission(&format!("e{entry}"), &format!("w{}", entry % 4));
+        let mut request = admission(&format!("e{entry}"), &format!("w{}", entry % 4));
         let held = self.credits.iter().position(|(e, _)| *e == entry);
         if let Some(index) = held.filter(|_| credit) {
-            ask.credit = Some(self.credits.swap_remove(index).1);
+            request.credit = Some(self.credits.swap_remove(index).1);
         }
-        if let Ok(permit) = self.gate.admit(&ask, self.now) {
+        if let Ok(permit) = self.gate.admit(&request, self.now) {
             self.permits.push(permit);
             let running = self.permits.len() as u32;
             prop_assert!(running <= self.gate.allowance(), "over the allowance");
@@ -139,7 +141,7 @@
         }
         let done = Completed { outcome, ..good() };
         let grants = self.gate.complete(permit, done, self.now);
-        self.keep(grants);
+        self.store_credits(grants);
     }
 
     fn signal(&mut self, kind: usize) {
@@ -155,7 +157,7 @@
         self.gate.observe(signal, self.now);
     }
 
-    fn keep(&mut self, grants: Vec<pimentotide_routing::Grant>) {
+    fn store_credits(&mut self, grants: Vec<pimentotide_routing::Grant>) {
         for grant in grants {
             let entry = grant.entry.as_str()[1..].parse().unwrap_or(0);
             self.credits.push((entry, grant.credit));
@@ -172,25 +174,25 @@
 
     #[test]
     fn running_never_exceeds_the_allowance(steps in prop::collection::vec(step(), 1..300)) {
-        let mut ledger = Ledger::new();
+        let mut model = Model::new();
         for step in steps {
-            ledger.run(&step)?;
+            model.run(&step)?;
         }
     }
 
     #[test]
-    fn places_of_silent_entries_come_back(counts in prop::collection::vec(1_u32..9, 9)) {
-        let mut ledger = Ledger::new();
-        crate::fixture::warm(&mut ledger.gate);
-        ledger.now = at(60_000);
+    fn slots_of_silent_entries_are_freed(counts in prop::collection::vec(1_u32..9, 9)) {
+        let mut model = Model::new();
+        crate::fixture::warm(&mut model.gate);
+        model.now = at(60_000);
         for (entry, count) in counts.into_iter().enumerate() {
-            ledger.run(&Step::Demand { entry, count })?;
+            model.run(&Step::Demand { entry, count })?;
         }
-        prop_assert!(ledger.gate.admit(&admission("e0", "w"), ledger.now).is_err());
-        ledger.now += Duration::from_secs(2);
-        ledger.gate.tick(ledger.now);
+        prop_assert!(model.gate.admit(&admission("e0", "w"), model.now).is_err());
+        model.now += Duration::from_secs(2);
+        model.gate.tick(model.now);
         for _ in 0..LIMIT {
-            let permit = ledger.gate.admit(&admission("e0", "w"), ledger.now);
+            let permit = model.gate.admit(&admission("e0", "w"), model.now);
             prop_assert!(permit.is_ok());
         }
     }
--- a/decision/routing/tests/it/health.rs
+++ b/decision/routing/tests/it/health.rs
@@ -1,4 +1,4 @@
-//! Ejection by progress, its limit, and the way back.
+//! Ejection by failures and stalls, its limit, and recovery by probes.
 
 use std::time::Duration;
 
@@ -26,7 +26,7 @@
         .collect()
 }
 
-/// Places a request on `upstream`, by leaving all others out.
+/// Places a request on `upstream` by excluding all others.
 fn place_on(placer: &mut Placer, upstream: &UpstreamName, now: Time) -> Option<Decision> {
     let tried: Vec<_> = names().into_iter().filter(|n| n != upstream).collect();
     match placer.place(&meta(1, "w"), &tried, now, &mut rng()) {
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn failures_eject_and_trickle_restores() {
+fn failures_eject_and_successful_probes_restore() {
     let mut placer = placer(COUNT);
     let up = names().remove(3);
     for _ in 0..3 {
@@ -74,21 +74,21 @@
 }
 
 #[test]
-fn an_upstream_that_never_answers_is_ejected() {
+fn upstream_that_never_answers_is_ejected() {
     let mut placer = placer(COUNT);
     let up = names().remove(5);
-    let _stuck = place_on(&mut placer, &up, at(0)).expect("placed");
-    let alive = place_on(&mut placer, &names()[4], at(0)).expect("placed");
-    placer.progress(&alive.ticket, at(1_500));
+    let _stalled = place_on(&mut placer, &up, at(0)).expect("placed");
+    let active = place_on(&mut placer, &names()[4], at(0)).expect("placed");
+    placer.progress(&active.ticket, at(1_500));
     assert!(placer.check_stalls(at(1_900)).is_empty());
     assert_eq!(placer.check_stalls(at(2_000)), [up]);
 }
 
 #[test]
-fn a_dead_zone_may_be_ejected_as_a_whole() {
+fn failed_zone_may_be_ejected_as_a_whole() {
     let mut placer = placer(COUNT);
     for up in names().iter().step_by(3) {
-        let _stuck = place_on(&mut placer, up, at(0)).expect("placed");
+        let _stalled = place_on(&mut placer, up, at(0)).expect("placed");
     }
     assert_eq!(placer.check_stalls(at(2_000)).len(), 4);
 }
--- a/decision/routing/tests/it/placement.rs
+++ b/decision/routing/tests/it/placement.rs
@@ -1,4 +1,4 @@
-//! Decisions with what they weighed.
+//! Decisions with the candidates that they compared.
 
 use std::fmt::Write;
 use std::time::Duration;
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn what_is_out_leaving_or_unfit_is_no_candidate() {
+fn unavailable_or_incompatible_upstreams_are_not_candidates() {
     let mut placer = placer(3);
     let mut rng = rng();
     placer.declare(zone_out(declarations(profile()), "accra-a"));
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn stragglers_hold_back_their_whole_group() {
+fn straggler_lowers_the_rank_of_its_whole_group() {
     let mut placer = placer(6);
     for index in [0, 3] {
         let mut announced = announcement(index, 16);
@@ -112,9 +112,9 @@
     let mut straggler = report(2, 0, 16);
     straggler.token_gap = 80_000;
     placer.observe_report(&name(3), &straggler, at(1));
-    let mut teach = rng();
+    let mut rng = rng();
     for step in 0..8 {
-        if let Placement::Chosen(d) = placer.place(&meta(step, "w"), &[], at(2), &mut teach) {
+        if let Placement::Chosen(d) = placer.place(&meta(step, "w"), &[], at(2), &mut rng) {
             let done = Finished {
                 outcome: AttemptOutcome::Good,
                 first_token: Some(Duration::from_millis(80)),
@@ -126,7 +126,7 @@
         }
     }
     for step in 0..20 {
-        if let Placement::Chosen(d) = placer.place(&meta(step, "w"), &[], at(4), &mut teach) {
+        if let Placement::Chosen(d) = placer.place(&meta(step, "w"), &[], at(4), &mut rng) {
             assert!(
                 d.upstream != name(0) && d.upstream != name(3),
                 "{}",
@@ -137,7 +137,7 @@
 }
 
 #[test]
-fn a_new_incarnation_starts_with_one_place() {
+fn new_incarnation_gets_one_request_before_its_first_report() {
     let mut placer = placer(1);
     let mut rng = rng();
     let mut restarted = announcement(0, 16);
@@ -151,7 +151,7 @@
 }
 
 #[test]
-fn nearest_zone_serves_until_it_fills() {
+fn nearest_zone_is_preferred_until_it_is_full() {
     let mut placer = placer(12);
     let mut rng = rng();
     let mut near = 0;
--- a/decision/routing/tests/it/queue.rs
+++ b/decision/routing/tests/it/queue.rs
@@ -1,4 +1,4 @@
-//! Order, fairness, bounds and shedding of the queue in an entry.
+//! Order, fairness, bounds and load shedding of the queue in an entry.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn a_large_workspace_does_not_starve_a_small_one() {
+fn large_workspace_does_not_starve_a_small_one() {
     let mut queue = queue(256, &[]);
     for id in 0..100 {
         push(&mut queue, id, "large", at(0));
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn priority_goes_first_then_deadline() {
+fn requests_are_ordered_by_priority_then_deadline() {
     let mut queue = queue(16, &[]);
     let mut order = Vec::new();
     for (id, priority, deadline) in [(1, 100, 9_000), (2, 100, 8_000), (3, 200, 9_500)] {
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn a_full_queue_gives_way_to_a_workspace_below_its_share() {
+fn full_queue_evicts_for_a_workspace_below_its_share() {
     let mut queue = queue(4, &[]);
     for id in 0..4 {
         assert!(push(&mut queue, id, "large", at(0)).is_empty());
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn what_cannot_make_its_deadline_is_refused_at_once() {
+fn request_that_would_miss_its_deadline_is_refused_on_arrival() {
     let mut queue = queue(256, &[]);
     for id in 0..60 {
         push(&mut queue, id, "w", at(0));
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn an_idle_queue_is_not_taken_for_a_slow_one() {
+fn idle_time_does_not_lower_the_drain_rate() {
     let mut queue = queue(256, &[]);
     for id in 0..10 {
         push(&mut queue, id, "w", at(0));
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn waiting_requests_are_shed_when_they_are_late() {
+fn late_requests_are_shed() {
     let mut queue = queue(256, &[]);
     queue.observe_answer(Duration::from_millis(500));
     let mut request = meta(1, "w");
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn requests_put_back_keep_their_turn() {
+fn requeued_requests_keep_their_position() {
     let mut queue = queue(16, &[]);
     for id in 0..3 {
         push(&mut queue, id, "a", at(0));
@@ -164,9 +164,9 @@
             *served.entry(queued.workspace).or_default() += 1;
         }
         for (name, weight) in &shares {
-            let got = served.get(*name).copied().unwrap_or(0);
-            let due = weight * rounds as u32;
-            prop_assert!(got.abs_diff(due) <= 1 + weight, "{name}: {got} of {due}");
+            let actual = served.get(*name).copied().unwrap_or(0);
+            let expected = weight * rounds as u32;
+            prop_assert!(actual.abs_diff(expected) <= 1 + weight, "{name}: {actual} of {expected}");
         }
     }
 
--- a/decision/routing/tests/it/retry.rs
+++ b/decision/routing/tests/it/retry.rs
@@ -1,4 +1,4 @@
-//! Retry budgets bound the attempts that a service makes.
+//! Retry budgets bound the attempts of a service and workspace.
 
 use std::time::Duration;
 
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn denials_name_their_reason() {
+fn denials_report_their_reason() {
     let (service, workspace, policy) = (ServiceName::from("s"), WorkspaceName::from("w"), policy());
     let mut budget = RetryBudget::default();
     let mut rng = rng();
@@ -72,18 +72,18 @@
 }
 
 #[test]
-fn pauses_double_with_jitter() {
+fn delays_double_with_jitter() {
     let (service, workspace, policy) = (ServiceName::from("s"), WorkspaceName::from("w"), policy());
     let mut budget = RetryBudget::default();
     let second = failed(&service, &workspace, &policy, 2);
-    let Retry::After(pause) = budget.decide(&second, at(0), &mut rng()) else {
+    let Retry::After(delay) = budget.decide(&second, at(0), &mut rng()) else {
         panic!("denied");
     };
-    assert!((Duration::from_millis(10)..Duration::from_millis(20)).contains(&pause));
+    assert!((Duration::from_millis(10)..Duration::from_millis(20)).contains(&delay));
 }
 
 #[test]
-fn workspaces_have_budgets_of_their_own() {
+fn budgets_are_separate_per_workspace() {
     let (service, policy) = (ServiceName::from("s"), policy());
     let mut budget = RetryBudget::default();
     let mut rng = rng();
@@ -114,8 +114,8 @@
                 budget.success(&service, &workspace, &policy, at(0));
                 false
             } else {
-                let ask = failed(&service, &workspace, &policy, attempt);
-                matches!(budget.decide(&ask, at(0), &mut rng), Retry::After(_))
+                let request = failed(&service, &workspace, &policy, attempt);
+                matches!(budget.decide(&request, at(0), &mut rng), Retry::After(_))
             };
             attempt = if retried { attempt + 1 } else { 1 };
             requests += f64::from(u8::from(!retried));
