--- a/decision/routing/src/health.rs
+++ b/decision/routing/src/health.rs
@@ -1,48 +1,48 @@
-//! Health of an upstream judged by progress, not by connection state.
+//! Outlier detection for one upstream, by request progress instead of
+//! connection state.
 //!
-//! A request that makes no progress for too long, or that fails, counts
-//! against its upstream; an answer in full counts for it. An upstream that
-//! fails repeatedly is ejected for a time that doubles with each ejection,
-//! and then probed with one request at a time. How many may be ejected at
-//! once is limited by the caller, because only it sees all of them.
+//! Repeated failures or a stall eject the upstream for a time that doubles with
+//! each ejection. It is then on probation, with one request at a time, until
+//! enough of them succeed. The caller limits how many upstreams are ejected at
+//! once, because a single `Health` covers one upstream.
 
 use std::time::Duration;
 
 use derive_more::Display;
 use pimentotide_model::Time;
 
-/// Consecutive failures that eject.
+/// Consecutive failures that eject an upstream.
 const EJECT_STREAK: u32 = 3;
-/// Time without progress on any request that counts as a stall.
-const STALL_BOUND: Duration = Duration::from_secs(2);
-/// Stall time in units of the usual time between signs of progress.
-const STALL_FACTOR: u32 = 8;
-/// First ejection time.
-const EJECT_LEAST: Duration = Duration::from_millis(500);
-/// Longest ejection time.
-const EJECT_MOST: Duration = Duration::from_secs(15);
-/// Good answers on probation that restore full trust.
-const PROBATION_GOOD: u32 = 3;
-/// Share of good answers by which past ejections are forgotten.
-const FORGET_GOOD: u32 = 32;
-
-/// State of an upstream as one entry sees it.
+/// Shortest time without progress on any request that counts as a stall.
+const MIN_STALL: Duration = Duration::from_secs(2);
+/// Stall time as a multiple of the smoothed interval between progress events.
+const STALL_RATIO: u32 = 8;
+/// Duration of the first ejection.
+const MIN_EJECTION: Duration = Duration::from_millis(500);
+/// Longest ejection.
+const MAX_EJECTION: Duration = Duration::from_secs(15);
+/// Successes on probation after which the upstream is healthy again.
+const PROBATION_SUCCESSES: u32 = 3;
+/// Successes after which one past ejection no longer counts towards the backoff.
+const DECAY_SUCCESSES: u32 = 32;
+
+/// Health state of an upstream in one entry.
 #[derive(Clone, Copy, Debug, Default, Display, PartialEq, Eq)]
 pub enum HealthState {
-    /// Takes work.
+    /// Accepts requests without limit.
     #[default]
     #[display("healthy")]
     Healthy,
-    /// Takes no work until a time.
+    /// Accepts no requests until the ejection ends.
     #[display("ejected")]
     Ejected {
         /// End of the ejection.
         until: Time,
     },
-    /// Takes one request at a time.
+    /// Accepts one request at a time.
     #[display("probation")]
     Probation {
-        /// Good answers since the ejection ended.
+        /// Successes since the ejection ended.
         good: u32,
     },
 }
@@ -51,112 +51,112 @@
 #[derive(Clone, Debug, Default)]
 pub struct Health {
     state: HealthState,
-    running: u32,
-    streak: u32,
+    in_flight: u32,
+    failures: u32,
     ejections: u32,
-    good: u32,
-    progress: Time,
-    pace: Duration,
+    successes: u32,
+    progress_at: Time,
+    progress_gap: Duration,
 }
 
 impl Health {
-    /// State at the last event.
+    /// Returns the state after the last recorded event.
     pub fn state(&self) -> HealthState {
         self.state
     }
 
-    /// Whether a request may be sent now.
+    /// Returns whether a request may be sent at `now`.
     pub fn admits(&self, now: Time) -> bool {
         match self.state {
             HealthState::Healthy => true,
-            HealthState::Ejected { until } => now >= until && self.running == 0,
-            HealthState::Probation { .. } => self.running == 0,
+            HealthState::Ejected { until } => now >= until && self.in_flight == 0,
+            HealthState::Probation { .. } => self.in_flight == 0,
         }
     }
 
-    /// Whether the upstream is out because of failures.
+    /// Returns whether an ejection is in force at `now`.
     pub fn is_ejected(&self, now: Time) -> bool {
         matches!(self.state, HealthState::Ejected { until } if now < until)
     }
 
-    /// Notes a request sent.
+    /// Records a request sent; starts probation once an ejection has ended.
     pub fn record_sent(&mut self, now: Time) {
         if let HealthState::Ejected { until } = self.state
             && now >= until
         {
             self.state = HealthState::Probation { good: 0 };
         }
-        if self.running == 0 {
-            self.progress = now;
+        if self.in_flight == 0 {
+            self.progress_at = now;
         }
-        self.running += 1;
+        self.in_flight += 1;
     }
 
-    /// Notes progress on any request: a first token, a later one or an answer.
+    /// Records progress on any request: a token or an answer.
     pub fn record_progress(&mut self, now: Time) {
-        let gap = now.since(self.progress);
-        self.pace = (self.pace * 7 + gap) / 8;
-        self.progress = now;
+        let gap = now.since(self.progress_at);
+        self.progress_gap = (self.progress_gap * 7 + gap) / 8;
+        self.progress_at = now;
     }
 
-    /// Notes an answer in full, or a refusal, which shows the upstream is alive.
+    /// Records a complete answer, or a refusal, which proves the upstream reachable.
     pub fn record_success(&mut self, now: Time) {
-        self.running = self.running.saturating_sub(1);
+        self.in_flight = self.in_flight.saturating_sub(1);
         self.record_progress(now);
-        self.streak = 0;
-        self.good += 1;
-        if self.good >= FORGET_GOOD {
-            self.good = 0;
+        self.failures = 0;
+        self.successes += 1;
+        if self.successes >= DECAY_SUCCESSES {
+            self.successes = 0;
             self.ejections = self.ejections.saturating_sub(1);
         }
         if let HealthState::Probation { good } = self.state {
-            self.state = probation(good + 1);
+            self.state = probation_state(good + 1);
         }
     }
 
-    /// Notes a request that ended without a verdict on the upstream.
+    /// Records the end of a request that is neither success nor failure.
     pub fn record_neutral(&mut self) {
-        self.running = self.running.saturating_sub(1);
+        self.in_flight = self.in_flight.saturating_sub(1);
     }
 
-    /// Notes a failure; true if the upstream should be ejected.
+    /// Records a failure; returns whether the upstream should be ejected.
     #[must_use]
     pub fn record_failure(&mut self) -> bool {
-        self.running = self.running.saturating_sub(1);
-        self.streak += 1;
+        self.in_flight = self.in_flight.saturating_sub(1);
+        self.failures += 1;
         let probing = matches!(self.state, HealthState::Probation { .. });
-        probing || self.streak >= EJECT_STREAK
+        probing || self.failures >= EJECT_STREAK
     }
 
-    /// Whether requests run and none of them has made progress for too long.
+    /// Returns whether requests are in flight and none has made progress for too long.
     pub fn is_stalled(&self, now: Time) -> bool {
-        let bound = STALL_BOUND.max(self.pace * STALL_FACTOR);
-        self.running > 0 && now.since(self.progress) >= bound
+        let bound = MIN_STALL.max(self.progress_gap * STALL_RATIO);
+        self.in_flight > 0 && now.since(self.progress_at) >= bound
     }
 
     /// Ejects the upstream for a time that doubles with each ejection.
     pub fn eject(&mut self, now: Time) {
-        let doubled = EJECT_LEAST * 2_u32.saturating_pow(self.ejections.min(16));
+        let doubled = MIN_EJECTION * 2_u32.saturating_pow(self.ejections.min(16));
         self.ejections += 1;
-        self.streak = 0;
-        self.good = 0;
+        self.failures = 0;
+        self.successes = 0;
         self.state = HealthState::Ejected {
-            until: now + doubled.min(EJECT_MOST),
+            until: now + doubled.min(MAX_EJECTION),
         };
     }
 
-    /// Starts over: the upstream has a new incarnation.
+    /// Resets all but the in-flight count, for a new incarnation of the upstream.
     pub fn reset(&mut self) {
-        let running = self.running;
+        let in_flight = self.in_flight;
         *self = Self {
-            running,
+            in_flight,
             ..Self::default()
         };
     }
 }
 
-fn probation(good: u32) -> HealthState {
-    if good >= PROBATION_GOOD {
+fn probation_state(good: u32) -> HealthState {
+    if good >= PROBATION_SUCCESSES {
         HealthState::Healthy
     } else {
         HealthState::Probation { good }
--- a/decision/routing/src/lib.rs
+++ b/decision/routing/src/lib.rs
@@ -1,12 +1,11 @@
 //! Choice of upstream, admission, credits, queues and retries.
 //!
-//! Two state machines share the work. The [`Gate`] runs in the agent beside
-//! each upstream and is the only authority on how much runs there, counting
-//! all entries together. The [`Placer`] runs in each entry and chooses an
-//! upstream from reports that arrive late; a wrong choice costs one refusal
-//! that is truly "not run". Around them stand the [`FairQueue`] of an entry,
-//! its [`RetryBudget`], the [`Health`] of each upstream and the [`advise`]
-//! function that tells callers which entry addresses to use.
+//! The [`Gate`] runs in the agent beside each upstream and alone decides how
+//! many requests run there, over all entries. The [`Placer`] runs in each entry
+//! and chooses an upstream from load reports that may be stale; a wrong choice
+//! costs one refusal that is guaranteed not to have run. An entry also has a
+//! [`FairQueue`] per service, a [`RetryBudget`] and the [`Health`] of each
+//! upstream. [`advise`] orders the entry addresses for a caller.
 
 mod advice;
 mod gate;
--- a/decision/routing/src/retry.rs
+++ b/decision/routing/src/retry.rs
@@ -1,10 +1,10 @@
-//! Retry budgets: how many attempts a service and workspace may add.
+//! Retry budgets by service and workspace.
 //!
-//! Each success earns a part of a retry and each retry spends a whole one, so
-//! attempts stay within `1 + budget` times the requests whatever fails. The
-//! attempt number travels with the request, so that layers do not multiply
-//! their retries. Refusals that are "not run" cost the upstream nothing and
-//! are placed elsewhere without spending budget, up to a bound.
+//! Each success earns a fraction of a retry token and each retry spends a whole
+//! one, which bounds attempts to about `1 + budget` times the requests however
+//! many fail. The attempt number is sent with the request, so that layers do
+//! not multiply each other's retries. Requests refused as "not run" cost the
+//! upstream nothing and are rerouted without spending budget, up to a limit.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -14,38 +14,38 @@
 use rand::{Rng, RngExt};
 
 /// Retries that a service and workspace may make before any success.
-const RESERVE: f64 = 3.0;
-/// Most retries saved up.
-const MOST_SAVED: f64 = 50.0;
-/// Most pairs of service and workspace kept.
+const INITIAL_TOKENS: f64 = 3.0;
+/// Largest number of retries that a bucket accumulates.
+const MAX_TOKENS: f64 = 50.0;
+/// Largest number of pairs of service and workspace kept.
 const MAX_BUCKETS: usize = 4_096;
-/// Refusals after which a request is queued rather than placed again.
+/// Refusals after which a request is queued instead of rerouted.
 const MAX_REFUSALS: u32 = 4;
-/// Longest pause before a retry.
-const MOST_BACKOFF: Duration = Duration::from_secs(2);
+/// Longest delay before a retry.
+const MAX_BACKOFF: Duration = Duration::from_secs(2);
 
-/// What to do after an attempt that ran and failed.
+/// Decision after an attempt that ran and failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Retry {
-    /// Try again after a pause.
+    /// Retry after a delay.
     After(Duration),
-    /// Give the failure to the caller.
+    /// Return the failure to the caller.
     Denied(Denial),
 }
 
-/// Why a request is not tried again.
+/// Why a request is not retried.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum Denial {
-    /// It may not run twice.
+    /// The request may not run twice.
     #[display("not idempotent")]
     NotIdempotent,
-    /// It has made all its attempts.
+    /// The request has made the attempts that its policy allows.
     #[display("attempts used up")]
     Attempts,
-    /// The service and workspace have used up their budget.
+    /// The service and workspace have spent their retry budget.
     #[display("budget used up")]
     Budget,
-    /// The pause would pass the deadline.
+    /// The retry would start after the deadline.
     #[display("deadline")]
     Deadline,
 }
@@ -53,7 +53,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Bucket {
     tokens: f64,
-    used: Time,
+    last_used: Time,
 }
 
 /// Retry budgets by service and workspace.
@@ -64,7 +64,7 @@
 }
 
 impl RetryBudget {
-    /// Earns the part of a retry that a success is worth.
+    /// Records a success, which earns `policy.budget` of a retry.
     pub fn success(
         &mut self,
         service: &ServiceName,
@@ -73,33 +73,33 @@
         now: Time,
     ) {
         let bucket = self.bucket(service, workspace, now);
-        bucket.tokens = (bucket.tokens + policy.budget).min(MOST_SAVED);
+        bucket.tokens = (bucket.tokens + policy.budget).min(MAX_TOKENS);
     }
 
-    /// Decides on a retry after attempt number `attempt`, counted from 1.
-    pub fn decide<R>(&mut self, ask: &FailedAttempt<'_>, now: Time, rng: &mut R) -> Retry
+    /// Decides whether to retry, and spends one retry of the budget if so.
+    pub fn decide<R>(&mut self, failed: &FailedAttempt<'_>, now: Time, rng: &mut R) -> Retry
     where
         R: Rng,
     {
-        if !ask.idempotent {
+        if !failed.idempotent {
             return Retry::Denied(Denial::NotIdempotent);
         }
-        if ask.attempt >= ask.policy.attempts {
+        if failed.attempt >= failed.policy.attempts {
             return Retry::Denied(Denial::Attempts);
         }
-        let pause = backoff(ask.policy.backoff, ask.attempt, rng);
-        if now + pause >= ask.deadline {
+        let delay = backoff(failed.policy.backoff, failed.attempt, rng);
+        if now + delay >= failed.deadline {
             return Retry::Denied(Denial::Deadline);
         }
-        let bucket = self.bucket(ask.service, ask.workspace, now);
+        let bucket = self.bucket(failed.service, failed.workspace, now);
         if bucket.tokens < 1.0 {
             return Retry::Denied(Denial::Budget);
         }
         bucket.tokens -= 1.0;
-        Retry::After(pause)
+        Retry::After(delay)
     }
 
-    /// Whether a request refused `refusals` times as "not run" is placed again at once.
+    /// Returns whether a request refused `refusals` times as "not run" is rerouted at once.
     pub fn may_reroute(refusals: u32) -> bool {
         refusals < MAX_REFUSALS
     }
@@ -110,8 +110,8 @@
         workspace: &WorkspaceName,
         now: Time,
     ) -> &mut Bucket {
-        if !self.has(service, workspace) {
-            self.make_room();
+        if !self.contains(service, workspace) {
+            self.evict_oldest();
             self.count += 1;
         }
         let bucket = self
@@ -120,28 +120,28 @@
             .or_default()
             .entry(workspace.clone())
             .or_insert(Bucket {
-                tokens: RESERVE,
-                used: now,
+                tokens: INITIAL_TOKENS,
+                last_used: now,
             });
-        bucket.used = now;
+        bucket.last_used = now;
         bucket
     }
 
-    fn has(&self, service: &ServiceName, workspace: &WorkspaceName) -> bool {
+    fn contains(&self, service: &ServiceName, workspace: &WorkspaceName) -> bool {
         self.buckets
             .get(service)
             .is_some_and(|b| b.contains_key(workspace))
     }
 
-    /// Forgets the bucket that has been idle for longest.
-    fn make_room(&mut self) {
+    /// Evicts the least recently used bucket when the limit is reached.
+    fn evict_oldest(&mut self) {
         if self.count < MAX_BUCKETS {
             return;
         }
         let oldest = self
             .buckets
             .iter()
-            .flat_map(|(s, b)| b.iter().map(move |(w, k)| (k.used, s, w)))
+            .flat_map(|(s, b)| b.iter().map(move |(w, k)| (k.last_used, s, w)))
             .min()
             .map(|(_, s, w)| (s.clone(), w.clone()));
         if let Some((service, workspace)) = oldest {
@@ -156,7 +156,7 @@
 /// An attempt that ran and failed.
 #[derive(Clone, Copy, Debug)]
 pub struct FailedAttempt<'a> {
-    /// Service that was asked.
+    /// Service that was requested.
     pub service: &'a ServiceName,
     /// Workspace on whose behalf it ran.
     pub workspace: &'a WorkspaceName,
@@ -164,19 +164,17 @@
     pub policy: &'a RetryPolicy,
     /// Number of the attempt that failed, counted from 1 across layers.
     pub attempt: u32,
-    /// Whether the request may run more than once.
+    /// Whether the request is safe to run more than once.
     pub idempotent: bool,
     /// Time by which it must be answered.
     pub deadline: Deadline,
 }
 
-/// Draws a pause between half and all of a bound that doubles with each attempt.
+/// Draws a delay between half and all of an exponential backoff.
 fn backoff<R>(first: Duration, attempt: u32, rng: &mut R) -> Duration
 where
     R: Rng,
 {
     let doubled = first.saturating_mul(2_u32.saturating_pow(attempt.saturating_sub(1).min(16)));
-    doubled
-        .min(MOST_BACKOFF)
-        .mul_f64(rng.random_range(0.5..1.0))
+    doubled.min(MAX_BACKOFF).mul_f64(rng.random_range(0.5..1.0))
 }
