--- a/decision/control/src/declare/action.rs
+++ b/decision/control/src/declare/action.rs
@@ -38,14 +38,14 @@
         /// Name of the zone.
         zone: ZoneName,
         /// Whether it accepts new work.
-        standing: Standing,
+        standing: AdminState,
     },
     /// Puts an upstream in or out of service, or sets whether it checks fencing tokens.
     Upstream {
         /// Name of the upstream.
         upstream: UpstreamName,
         /// Whether it accepts new work; unchanged if `None`.
-        standing: Option<Standing>,
+        standing: Option<AdminState>,
         /// Whether its engine rejects outdated fencing tokens; unchanged if `None`.
         fenced: Option<bool>,
     },
--- a/decision/outcome/src/attempt/message.rs
+++ b/decision/outcome/src/attempt/message.rs
@@ -19,7 +19,7 @@
     /// Requested service.
     pub service: ServiceName,
     /// Idempotency key of the request.
-    pub key: IdemKey,
+    pub key: IdempotencyKey,
     /// Whether the entry generated the key.
     pub generated: bool,
     /// Digest of the request content.
--- a/decision/outcome/src/claim.rs
+++ b/decision/outcome/src/claim.rs
@@ -69,7 +69,7 @@
     /// Requested service.
     pub service: ServiceName,
     /// Idempotency key of the request.
-    pub key: IdemKey,
+    pub key: IdempotencyKey,
     /// Whether the entry generated the key.
     pub generated: bool,
     /// Digest of the request content.
@@ -86,7 +86,7 @@
     /// Workspace of the key.
     pub workspace: WorkspaceName,
     /// Idempotency key of the request.
-    pub key: IdemKey,
+    pub key: IdempotencyKey,
     /// Number of the claim, assigned by the journal.
     pub claim: ClaimId,
 }
@@ -162,6 +162,6 @@
 }
 
 /// Generates the key of a request that was received without one.
-pub fn generated_key(request: RequestId) -> IdemKey {
-    IdemKey::from(format!("generated-{request}"))
+pub fn generated_key(request: RequestId) -> IdempotencyKey {
+    IdempotencyKey::from(format!("generated-{request}"))
 }
--- a/decision/outcome/src/journal.rs
+++ b/decision/outcome/src/journal.rs
@@ -33,7 +33,7 @@
         /// Workspace that the key belongs to.
         workspace: WorkspaceName,
         /// Idempotency key of the request.
-        key: IdemKey,
+        key: IdempotencyKey,
         /// Digest of the request content.
         fingerprint: Fingerprint,
     },
@@ -266,7 +266,12 @@
         }
     }
 
-    fn look_up(&self, workspace: &WorkspaceName, key: &IdemKey, content: Fingerprint) -> Reply {
+    fn look_up(
+        &self,
+        workspace: &WorkspaceName,
+        key: &IdempotencyKey,
+        content: Fingerprint,
+    ) -> Reply {
         let Some(window) = self.windows.get(workspace) else {
             return Reply::Open;
         };
--- a/decision/outcome/src/window.rs
+++ b/decision/outcome/src/window.rs
@@ -130,7 +130,7 @@
         self.records.len() + self.tombstones.len()
     }
 
-    pub(crate) fn get(&self, key: &IdemKey) -> KeyState<'_> {
+    pub(crate) fn get(&self, key: &IdempotencyKey) -> KeyState<'_> {
         if let Some(record) = self.records.get(key) {
             return KeyState::Record(record);
         }
@@ -165,19 +165,19 @@
     }
 
     /// Removes a claim that did not run.
-    pub(crate) fn release(&mut self, key: &IdemKey) {
+    pub(crate) fn release(&mut self, key: &IdempotencyKey) {
         if let Some(record) = self.records.remove(key) {
             self.running.remove(&record.claim);
         }
     }
 
     /// Closes a running claim, or replaces an unknown outcome by an answer.
-    pub(crate) fn close(&mut self, key: &IdemKey, phase: Phase, limits: &Limits, at: Time) {
+    pub(crate) fn close(&mut self, key: &IdempotencyKey, phase: Phase, limits: &Limits, at: Time) {
         self.set_phase(key, phase, at);
         self.prune(limits, at);
     }
 
-    fn set_phase(&mut self, key: &IdemKey, phase: Phase, at: Time) {
+    fn set_phase(&mut self, key: &IdempotencyKey, phase: Phase, at: Time) {
         let Some(record) = self.records.get_mut(key) else {
             return;
         };
@@ -212,7 +212,7 @@
     }
 
     fn close_overdue(&mut self, limits: &Limits, at: Time) {
-        let overdue: Vec<IdemKey> = self
+        let overdue: Vec<IdempotencyKey> = self
             .running
             .values()
             .filter(|key| self.records[*key].until + limits.grace <= at)
@@ -229,7 +229,7 @@
         }
     }
 
-    fn replace_with_tombstone(&mut self, key: &IdemKey, closed: Time) {
+    fn replace_with_tombstone(&mut self, key: &IdempotencyKey, closed: Time) {
         let Some(record) = self.records.remove(key) else {
             return;
         };
@@ -259,7 +259,7 @@
     }
 }
 
-fn key_digest(key: &IdemKey) -> Fingerprint {
+fn key_digest(key: &IdempotencyKey) -> Fingerprint {
     Fingerprint::of([key.as_bytes()])
 }
 
--- a/decision/routing/src/advice.rs
+++ b/decision/routing/src/advice.rs
@@ -58,7 +58,7 @@
     F: Fn(&ZoneName) -> AdminState,
 {
     let live = |e: &EntryState| !e.stopping && now.since(e.last_seen) < ENTRY_TIMEOUT;
-    let in_service = |e: &EntryState| live(e) && standing(&e.zone) == Standing::In;
+    let in_service = |e: &EntryState| live(e) && standing(&e.zone) == AdminState::In;
     let mut chosen: Vec<&EntryState> = entries.iter().filter(|e| in_service(e)).collect();
     if chosen.is_empty() {
         chosen = entries.iter().filter(|e| live(e)).collect();
--- a/decision/routing/src/gate/mod.rs
+++ b/decision/routing/src/gate/mod.rs
@@ -388,14 +388,14 @@
         Err(ErrorKind::Overloaded)
     }
 
-    fn check_standing(&self, now: Time, lapse: LapsePolicy) -> Result<(), ErrorKind> {
+    fn check_standing(&self, now: Time, lapse: LeaseExpiryPolicy) -> Result<(), ErrorKind> {
         if self.draining {
             return Err(ErrorKind::Stopping);
         }
         if self.policy.standing == AdminState::Out {
             return Err(ErrorKind::OutOfService);
         }
-        if now > self.lease_expiry && lapse == LapsePolicy::Refuse {
+        if now > self.lease_expiry && lapse == LeaseExpiryPolicy::Refuse {
             return Err(ErrorKind::NotCurrent);
         }
         Ok(())
@@ -455,7 +455,7 @@
         self.credits.expire(now);
         self.warmup.advance(now);
         self.credits.trim(self.credit_room());
-        if self.draining || self.policy.standing == Standing::Out {
+        if self.draining || self.policy.standing == AdminState::Out {
             return Vec::new();
         }
         let mut grants = Vec::new();
@@ -472,7 +472,7 @@
     fn grant(&mut self, now: Time) -> Option<Grant> {
         let lapsed = now > self.lease_expiry;
         let admissible = |service: &ServiceName| {
-            let refuse = lapsed && self.policy.lapse_of(service) == LapsePolicy::Refuse;
+            let refuse = lapsed && self.policy.lapse_of(service) == LeaseExpiryPolicy::Refuse;
             let running = self.per_service.get(service).copied().unwrap_or(0);
             let leased = self.credits.leased_for(service);
             let room = self
--- a/decision/routing/src/gate/policy.rs
+++ b/decision/routing/src/gate/policy.rs
@@ -13,7 +13,7 @@
     /// Largest number of concurrent requests; `None` means the upstream's capacity.
     pub concurrency: Option<u32>,
     /// Whether requests are admitted after the configuration lease expires.
-    pub lapse: LapsePolicy,
+    pub lapse: LeaseExpiryPolicy,
     /// Weight of each workspace; 1 if not listed.
     pub shares: BTreeMap<WorkspaceName, u32>,
 }
@@ -24,7 +24,7 @@
     /// Revision of the declarations that the rules come from.
     pub revision: Revision,
     /// Whether operators have the upstream and its zone in service.
-    pub standing: Standing,
+    pub standing: AdminState,
     /// Most conservative slow start among the services of the upstream.
     pub slow_start: SlowStart,
     /// Limits by service, for the services of the upstream.
--- a/decision/routing/tests/it/advice.rs
+++ b/decision/routing/tests/it/advice.rs
@@ -43,7 +43,7 @@
         &mut rng(),
     );
     assert_eq!(all_out.addresses.len(), 7);
-    let silent = advise(None, &entries, |_| Standing::In, at(99_000), &mut rng());
+    let silent = advise(None, &entries, |_| AdminState::In, at(99_000), &mut rng());
     assert_eq!(silent.addresses.len(), 9);
 }
 
@@ -53,7 +53,7 @@
     let mut rng = rng();
     let mut firsts: BTreeMap<String, u32> = BTreeMap::new();
     for _ in 0..9_000 {
-        let advice = advise(None, &entries, |_| Standing::In, at(10_000), &mut rng);
+        let advice = advise(None, &entries, |_| AdminState::In, at(10_000), &mut rng);
         assert!((5..=10).contains(&advice.ttl.as_secs()));
         *firsts.entry(advice.addresses[0].clone()).or_default() += 1;
     }
