--- a/decision/fleet/src/upstream.rs
+++ b/decision/fleet/src/upstream.rs
@@ -108,9 +108,9 @@
         self.sent_since_report = 0;
     }
 
-    pub(crate) fn sent(&mut self, now: Time) {
-        self.mine += 1;
-        self.since += 1;
+    pub(crate) fn record_send(&mut self, now: Time) {
+        self.in_flight += 1;
+        self.sent_since_report += 1;
         self.health.record_sent(now);
         if let Some(cold) = self.cold.as_mut().filter(|c| now < c.until) {
             cold.limit.take(now);
@@ -131,8 +131,8 @@
             Outcome::Failed => {
                 self.bad += 1.0;
                 let streak = self.health.record_failure();
-                let share = self.bad / (self.good + self.bad);
-                streak || (self.bad >= LEAST_FAILURES && share >= EJECT_SHARE)
+                let ratio = self.bad / (self.good + self.bad);
+                streak || (self.bad >= MIN_FAILURES && ratio >= EJECT_RATIO)
             }
             Outcome::Gone => {
                 self.gone = true;
