--- a/decision/consensus/src/event.rs
+++ b/decision/consensus/src/event.rs
@@ -67,7 +67,7 @@
         /// Sender.
         from: Identity,
         /// Identity that the sender had in mind.
-        meant: Identity,
+        intended: Identity,
     },
 }
 
--- a/decision/consensus/src/machine.rs
+++ b/decision/consensus/src/machine.rs
@@ -114,7 +114,7 @@
     }
 
     /// Gives up on a proposal, whose outcome stays unknown to whoever waits.
-    pub fn forget(&mut self, id: ProposalId) {
+    pub fn abandon(&mut self, id: ProposalId) {
         self.waiting.retain(|_, (_, other)| *other != id);
     }
 }
--- a/decision/consensus/src/message.rs
+++ b/decision/consensus/src/message.rs
@@ -115,7 +115,7 @@
     /// The receiver is not who the message was meant for.
     Refused {
         /// Identity that the sender had in mind.
-        meant: Identity,
+        intended: Identity,
     },
 }
 
--- a/decision/consensus/src/node/catchup.rs
+++ b/decision/consensus/src/node/catchup.rs
@@ -30,7 +30,7 @@
         let snapshot = Snapshot { meta, data };
         self.snapshot = Some(snapshot.clone());
         self.draft.snapshot = Some(snapshot);
-        let kept = Index(index.0.saturating_sub(self.options.keep));
+        let kept = Index(index.0.saturating_sub(self.options.retained_entries));
         self.log.compact(kept);
     }
 
@@ -52,7 +52,7 @@
     /// Sends the part that is due; returns false as one part at a time is under way.
     pub(super) fn send_chunk(&mut self, who: &Identity) -> bool {
         let now = self.at.now;
-        let most = self.options.chunk as u64;
+        let most = self.options.max_chunk_bytes as u64;
         let Some(peer) = self.peer(who) else {
             return false;
         };
--- a/decision/consensus/src/node/election.rs
+++ b/decision/consensus/src/node/election.rs
@@ -156,7 +156,7 @@
     fn supports_leader(&self) -> bool {
         match &self.role {
             Role::Leader(_) => self.holds_lease(),
-            _ => self.at.now < self.heard + self.options.election,
+            _ => self.at.now < self.heard + self.options.election_timeout,
         }
     }
 
--- a/decision/consensus/src/node/leader.rs
+++ b/decision/consensus/src/node/leader.rs
@@ -92,7 +92,7 @@
             .transfer
             .as_ref()
             .is_some_and(|t| self.at.now >= t.until);
-        let deaf = self.at.now >= self.quorum_heard() + self.options.election;
+        let deaf = self.at.now >= self.quorum_heard() + self.options.election_timeout;
         if overdue || deaf {
             self.step_down();
             return;
@@ -118,13 +118,13 @@
         let Role::Leader(state) = &self.role else {
             return Some(Reject::NotLeader(self.leader.clone()));
         };
-        let settled = self.at.now >= state.elected + self.options.election;
+        let settled = self.at.now >= state.elected + self.options.election_timeout;
         let waiting = self.log.last().index.0 - self.commit.0;
         if state.transfer.is_some() {
             Some(Reject::Transferring)
         } else if settled && !self.holds_lease() {
             Some(Reject::NoQuorum)
-        } else if waiting >= self.options.backlog {
+        } else if waiting >= self.options.max_uncommitted {
             Some(Reject::Overloaded)
         } else {
             None
--- a/decision/consensus/src/node/lease.rs
+++ b/decision/consensus/src/node/lease.rs
@@ -91,7 +91,7 @@
 
     /// Starts to hand over to the voter that has most of the log.
     pub(super) fn transfer(&mut self) {
-        let until = self.at.now + self.options.election;
+        let until = self.at.now + self.options.election_timeout;
         let Some(target) = self.successor() else {
             return;
         };
--- a/decision/consensus/src/node/membership.rs
+++ b/decision/consensus/src/node/membership.rs
@@ -67,7 +67,7 @@
             return false;
         };
         let acked = state.peers.get(name).and_then(|p| p.acked);
-        acked.is_some_and(|at| self.at.now < at + self.options.election)
+        acked.is_some_and(|at| self.at.now < at + self.options.election_timeout)
     }
 
     /// Appends new members, which are in force at once, and follows them.
@@ -111,7 +111,9 @@
             .values()
             .filter(|p| learners.contains_key(&p.identity.name) && !p.lost)
             .filter(|p| self.hears(&p.identity.name))
-            .find(|p| p.matched >= state.first && p.matched.0 + self.options.lag >= last)
+            .find(|p| {
+                p.matched >= state.first && p.matched.0 + self.options.max_learner_lag >= last
+            })
             .map(|p| p.identity.clone())
     }
 }
--- a/decision/consensus/src/node/mod.rs
+++ b/decision/consensus/src/node/mod.rs
@@ -132,7 +132,7 @@
     }
 
     /// First write of a new log with these members; none if the folder was used before.
-    pub fn found(recovered: &Recovered, cluster: ClusterId, config: Config) -> Option<Write> {
+    pub fn bootstrap(recovered: &Recovered, cluster: ClusterId, config: Config) -> Option<Write> {
         let unused = recovered.hard.cluster.is_none()
             && recovered.snapshot.is_none()
             && recovered.entries.is_empty();
@@ -199,8 +199,8 @@
             self.refuse(cluster, from, to);
             return;
         }
-        if let Message::Refused { meant } = body {
-            self.on_refused(&meant);
+        if let Message::Refused { intended } = body {
+            self.on_refused(&intended);
             return;
         }
         if !self.joins(cluster, &body) {
@@ -256,21 +256,21 @@
         }
     }
 
-    /// Refuses a message meant for a disk that this replica no longer has.
-    fn refuse(&mut self, cluster: ClusterId, from: Identity, meant: Identity) {
-        if meant.name != self.hard.identity.name {
+    /// Refuses a message intended for a disk that this replica no longer has.
+    fn refuse(&mut self, cluster: ClusterId, from: Identity, intended: Identity) {
+        if intended.name != self.hard.identity.name {
             return;
         }
         self.actions.push(Action::Refused {
             from: from.clone(),
-            meant: meant.clone(),
+            intended: intended.clone(),
         });
         let envelope = Envelope {
             cluster,
             from: self.hard.identity.clone(),
             to: from,
             term: self.hard.term,
-            body: Message::Refused { meant },
+            body: Message::Refused { intended },
         };
         self.actions.push(Action::Send {
             after: self.ticket(Need::Hard),
@@ -425,7 +425,7 @@
     }
 
     fn reset_deadline(&mut self) {
-        let least = self.options.election;
+        let least = self.options.election_timeout;
         let spread = u64::try_from(least.as_micros()).unwrap_or(u64::MAX);
         let extra = self.rng.random_range(0..=spread);
         self.deadline = self.at.now + least + std::time::Duration::from_micros(extra);
--- a/decision/consensus/src/node/replication.rs
+++ b/decision/consensus/src/node/replication.rs
@@ -28,7 +28,7 @@
     /// Sends heartbeats if they are due.
     pub(super) fn beat(&mut self) {
         let now = self.at.now;
-        let pause = self.options.heartbeat;
+        let pause = self.options.heartbeat_interval;
         let Role::Leader(state) = &mut self.role else {
             return;
         };
@@ -62,7 +62,7 @@
     /// Repeats messages that were not answered in time.
     pub(super) fn resend(&mut self) {
         let now = self.at.now;
-        let pause = self.options.resend;
+        let pause = self.options.resend_timeout;
         let late = |sent: Time| now >= sent + pause;
         let Role::Leader(state) = &mut self.role else {
             return;
@@ -90,7 +90,7 @@
     /// Sends one message; returns whether another one may follow.
     fn feed_once(&mut self, who: &Identity) -> bool {
         let now = self.at.now;
-        let window = self.options.inflight;
+        let window = self.options.max_inflight;
         let last = self.log.last().index;
         let base = self.log.base().index;
         let Some(peer) = self.peer(who) else {
@@ -135,7 +135,7 @@
     fn send_entries(&mut self, who: &Identity, next: Index) -> Index {
         let index = next.prev();
         let term = self.log.term_at(index).unwrap_or_default();
-        let entries = self.log.slice(next, self.options.batch);
+        let entries = self.log.slice(next, self.options.max_batch_bytes);
         let end = entries.last().map_or(index, |e| e.id.index);
         let body = Message::Append {
             prev: LogId { term, index },
@@ -185,8 +185,8 @@
         self.feed(from);
     }
 
-    pub(super) fn on_refused(&mut self, meant: &Identity) {
-        if let Some(peer) = self.peer(meant) {
+    pub(super) fn on_refused(&mut self, intended: &Identity) {
+        if let Some(peer) = self.peer(intended) {
             peer.lost = true;
             peer.probe(peer.matched.next());
         }
--- a/decision/consensus/src/node/report.rs
+++ b/decision/consensus/src/node/report.rs
@@ -25,7 +25,7 @@
                 .as_ref()
                 .map_or(Index(0), |s| s.meta.last.index),
             config: self.log.config().clone(),
-            settled: self.log.config_index() <= self.commit,
+            config_committed: self.log.config_index() <= self.commit,
             peers: self.peer_status(at.now),
         }
     }
@@ -55,8 +55,10 @@
                 name: p.identity.name.clone(),
                 matched: p.matched,
                 lag: last.saturating_sub(p.matched.0),
-                heard: p.acked.is_some_and(|at| now < at + self.options.election),
-                lost: p.lost,
+                reachable: p
+                    .acked
+                    .is_some_and(|at| now < at + self.options.election_timeout),
+                disk_replaced: p.lost,
             })
             .collect()
     }
--- a/decision/consensus/src/status.rs
+++ b/decision/consensus/src/status.rs
@@ -40,9 +40,11 @@
     /// Entries that it lacks.
     pub lag: u64,
     /// Whether it answered within the shortest election time.
-    pub heard: bool,
+    #[serde(rename = "heard")]
+    pub reachable: bool,
     /// Whether it answers under the identity of another disk.
-    pub lost: bool,
+    #[serde(rename = "lost")]
+    pub disk_replaced: bool,
 }
 
 /// What a node reports about itself.
@@ -71,7 +73,8 @@
     /// Members in force.
     pub config: Config,
     /// Whether the members in force are committed.
-    pub settled: bool,
+    #[serde(rename = "settled")]
+    pub config_committed: bool,
     /// What it knows of the other members, if it leads.
     pub peers: Vec<PeerStatus>,
 }
--- a/decision/consensus/tests/it/sim/chaos.rs
+++ b/decision/consensus/tests/it/sim/chaos.rs
@@ -119,7 +119,10 @@
     fn leader_settled(&self) -> bool {
         self.leader()
             .and_then(|n| Some((n, self.node(n)?)))
-            .is_some_and(|(n, node)| node.status(self.hosts[n].moment(self.time)).settled)
+            .is_some_and(|(n, node)| {
+                node.status(self.hosts[n].moment(self.time))
+                    .config_committed
+            })
     }
 
     fn step_clock(&mut self, host: usize) {
--- a/decision/consensus/tests/it/sim/host.rs
+++ b/decision/consensus/tests/it/sim/host.rs
@@ -51,16 +51,16 @@
 /// Small bounds, so that every limit is met often.
 pub(crate) fn options() -> Options {
     Options {
-        election: Duration::from_millis(350),
-        heartbeat: Duration::from_millis(50),
-        drift: DRIFT,
-        resend: Duration::from_millis(100),
-        batch: 300,
-        inflight: 4,
-        chunk: 64,
-        lag: 8,
-        backlog: 200,
-        keep: 5,
+        election_timeout: Duration::from_millis(350),
+        heartbeat_interval: Duration::from_millis(50),
+        max_clock_drift: DRIFT,
+        resend_timeout: Duration::from_millis(100),
+        max_batch_bytes: 300,
+        max_inflight: 4,
+        max_chunk_bytes: 64,
+        max_learner_lag: 8,
+        max_uncommitted: 200,
+        retained_entries: 5,
     }
 }
 
--- a/decision/consensus/tests/it/sim/mod.rs
+++ b/decision/consensus/tests/it/sim/mod.rs
@@ -216,7 +216,7 @@
     /// Replaces a host's disk by an empty one.
     pub(crate) fn lose_disk(&mut self, host: usize) {
         self.hosts[host].process = None;
-        self.hosts[host].disk.vanish();
+        self.hosts[host].disk.wipe();
         self.counts.disk_losses += 1;
         self.schedule(Duration::from_millis(50), Item::Start(host));
     }
@@ -263,7 +263,7 @@
         }
         let first = &self.hosts[0];
         let mut opened = Storage::open(first.disk.clone(), &first.name, &mut self.rng).unwrap();
-        let write = Node::found(&opened.recovered, ClusterId(7), config).unwrap();
+        let write = Node::bootstrap(&opened.recovered, ClusterId(7), config).unwrap();
         opened.storage.write([&write]).unwrap();
     }
 
--- a/decision/consensus/tests/it/trio.rs
+++ b/decision/consensus/tests/it/trio.rs
@@ -36,11 +36,11 @@
 
 fn options() -> Options {
     Options {
-        election: ELECTION,
-        heartbeat: Duration::from_secs(3_600),
-        resend: Duration::from_secs(3_600),
+        election_timeout: ELECTION,
+        heartbeat_interval: Duration::from_secs(3_600),
+        resend_timeout: Duration::from_secs(3_600),
         // One entry in a message.
-        batch: 1,
+        max_batch_bytes: 1,
         ..Options::default()
     }
 }
@@ -67,7 +67,7 @@
                 snapshot: None,
                 entries: Vec::new(),
             };
-            let write = Node::found(&empty, ClusterId(1), config.clone()).unwrap();
+            let write = Node::bootstrap(&empty, ClusterId(1), config.clone()).unwrap();
             let recovered = Recovered {
                 hard: write.hard.unwrap(),
                 snapshot: None,
--- a/dev/bench/src/bin/replica_latency.rs
+++ b/dev/bench/src/bin/replica_latency.rs
@@ -97,7 +97,7 @@
     loop {
         for (number, replica) in running.iter().enumerate() {
             let log = replica.handle.status().await?.log;
-            let whole = log.config.voters.len() == running.len() && log.settled;
+            let whole = log.config.voters.len() == running.len() && log.config_committed;
             if log.role == RoleKind::Leader && whole {
                 return Ok(number);
             }
--- a/dev/scenario/src/world/perform.rs
+++ b/dev/scenario/src/world/perform.rs
@@ -136,7 +136,7 @@
             DiskFault::Crashes => disk.arm(1, Fault::Crash),
             DiskFault::Lost => {
                 self.kill(node);
-                disk.vanish();
+                disk.wipe();
                 self.schedule(Duration::from_millis(50), Item::Start(node));
             }
         }
--- a/dev/scenario/src/world/setup.rs
+++ b/dev/scenario/src/world/setup.rs
@@ -101,7 +101,8 @@
         let name = self.instance_name(first);
         let disk = self.disks[&first].clone();
         let mut opened = Storage::open(disk, &name, &mut self.rng).expect("a fresh disk opens");
-        let write = Node::found(&opened.recovered, ClusterId(7), config).expect("an unused folder");
+        let write =
+            Node::bootstrap(&opened.recovered, ClusterId(7), config).expect("an unused folder");
         opened.storage.write([&write]).expect("a fresh disk writes");
     }
 
--- a/peers/instance/src/replica/actor.rs
+++ b/peers/instance/src/replica/actor.rs
@@ -164,7 +164,7 @@
             }
             Action::Rejected(id, reason) => self.reject(id, &reason),
             Action::ReadReady(id, index) => self.reached(id, index),
-            Action::Refused { from, meant } => self.note_refusal(&from, &meant),
+            Action::Refused { from, intended } => self.note_refusal(&from, &intended),
         }
     }
 
@@ -274,7 +274,7 @@
             .map(|(id, _)| *id)
             .collect();
         for id in late {
-            self.applier.forget(id);
+            self.applier.abandon(id);
             if let Some(waiting) = self.waiting.remove(&id) {
                 let failure = Failure::new(ErrorKind::NoQuorum, "no quorum answered in time");
                 waiting.reply.refuse(Refusal::from(failure));
@@ -422,7 +422,7 @@
     type Context = Context<Self>;
 
     fn started(&mut self, ctx: &mut Self::Context) {
-        let pause = TICK.max(self.options.log.heartbeat / TICKS_PER_HEARTBEAT);
+        let pause = TICK.max(self.options.log.heartbeat_interval / TICKS_PER_HEARTBEAT);
         ctx.run_interval(pause, |replica, _| replica.tick());
         let me = self.node.hard().identity.clone();
         if self.node.hard().cluster.is_none() && !self.options.founders.is_empty() {
@@ -500,7 +500,7 @@
             entries: Vec::new(),
         };
         let cluster = ClusterId(rand::random());
-        if let Some(write) = Node::found(&empty, cluster, told.config) {
+        if let Some(write) = Node::bootstrap(&empty, cluster, told.config) {
             replica.founding = Some(write.clone());
             replica.writer.write(write);
         }
--- a/peers/instance/src/replica/handle.rs
+++ b/peers/instance/src/replica/handle.rs
@@ -71,12 +71,12 @@
             storage,
             recovered,
             fresh,
-            cut,
+            truncated_bytes,
         } = tokio::task::spawn_blocking(move || open(&folder, &name))
             .await
             .map_err(|e| Failure::new(ErrorKind::Internal, e.to_string()))??;
         log::info!(
-            "replica {}: fresh {fresh}, cut {cut} bytes, {} entries",
+            "replica {}: fresh {fresh}, cut {truncated_bytes} bytes, {} entries",
             recovered.hard.identity,
             recovered.entries.len()
         );
@@ -288,7 +288,7 @@
 
     /// Hands over leadership, writes what is queued and ends the replica.
     pub async fn stop(self) {
-        let patience = self.options.log.election * 2;
+        let patience = self.options.log.election_timeout * 2;
         self.replica.do_send(HandOver);
         // Without a successor the replica stops as leader.
         let _ = tokio::time::timeout(patience, self.handed_over()).await;
--- a/peers/instance/tests/it/replica.rs
+++ b/peers/instance/tests/it/replica.rs
@@ -71,7 +71,7 @@
         let mut options = ReplicaOptions::new(name, address, self.folder(number), token.clone())
             .with_founders(self.founders.clone());
         options.compact = 20;
-        options.log.keep = 5;
+        options.log.retained_entries = 5;
         let handle = Replica::spawn(options, List::default()).await.unwrap();
         let methods = module(handle.clone()).unwrap();
         let server = PeerServer::bind(address, token, [methods]).await.unwrap();
--- a/support/storage/src/fake.rs
+++ b/support/storage/src/fake.rs
@@ -105,7 +105,7 @@
     }
 
     /// Loses everything, as if the disk had been replaced.
-    pub fn vanish(&self) {
+    pub fn wipe(&self) {
         let mut content = self.lock();
         content.files.clear();
         content.names.clear();
--- a/support/storage/src/storage.rs
+++ b/support/storage/src/storage.rs
@@ -47,7 +47,7 @@
     /// Whether the folder was used for the first time.
     pub fresh: bool,
     /// Bytes of a torn tail that were cut.
-    pub cut: u64,
+    pub truncated_bytes: u64,
 }
 
 impl<D> Storage<D>
@@ -87,7 +87,7 @@
             limit,
             poisoned: false,
         };
-        let (entries, cut) = storage.recover(&names, snapshot.as_ref())?;
+        let (entries, truncated_bytes) = storage.recover(&names, snapshot.as_ref())?;
         Ok(Opened {
             storage,
             recovered: Recovered {
@@ -96,7 +96,7 @@
                 entries,
             },
             fresh,
-            cut,
+            truncated_bytes,
         })
     }
 
--- a/support/storage/tests/it/damage.rs
+++ b/support/storage/tests/it/damage.rs
@@ -72,8 +72,8 @@
         disk.append(newest, &record[start..start + length]).unwrap();
         let opened = open(disk.clone()).unwrap();
         assert_eq!(Expected::of(&opened.recovered), expected);
-        assert_eq!(opened.cut, length as u64);
-        assert_eq!(open(disk).unwrap().cut, 0);
+        assert_eq!(opened.truncated_bytes, length as u64);
+        assert_eq!(open(disk).unwrap().truncated_bytes, 0);
     }
 }
 
@@ -93,7 +93,7 @@
 fn a_vanished_disk_comes_back_as_another() {
     let disk = written(4);
     let before = open(disk.clone()).unwrap().recovered.hard.identity;
-    disk.vanish();
+    disk.wipe();
     let mut rng = <rand_chacha::ChaCha8Rng as rand::SeedableRng>::seed_from_u64(2);
     let opened =
         pimentotide_storage::Storage::open(disk, &crate::script::name(), &mut rng).unwrap();
