--- a/decision/consensus/src/config.rs
+++ b/decision/consensus/src/config.rs
@@ -1,4 +1,4 @@
-//! Members of the replicated log and changes to them.
+//! Membership of the replicated log and changes to it.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -9,7 +9,7 @@
 
 use crate::{DiskId, Identity};
 
-/// One member.
+/// A member of the replicated log, identified by its disk.
 #[derive(Clone, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[display("{disk} at {address}")]
 pub struct Member {
@@ -19,45 +19,45 @@
     pub address: SocketAddr,
 }
 
-/// All members from one entry on.
+/// Membership from one log entry on.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Config {
     /// Members that vote.
     pub voters: BTreeMap<InstanceName, Member>,
-    /// Members that receive the log and do not vote yet.
+    /// Members that receive the log but do not vote yet.
     pub learners: BTreeMap<InstanceName, Member>,
 }
 
 /// A change to the members.
 #[derive(Clone, Debug, Display, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Change {
-    /// Adds a learner, which votes once it has caught up.
+    /// Adds a learner, which is promoted to voter once it has caught up.
     #[display("add {_0} ({_1})")]
     Add(InstanceName, Member),
-    /// Removes a member.
+    /// Removes a voter or learner.
     #[display("remove {_0}")]
     Remove(InstanceName),
 }
 
 impl Config {
-    /// Smallest number of voters that is a majority.
+    /// Returns the number of voters that form a majority.
     pub fn quorum(&self) -> usize {
         self.voters.len() / 2 + 1
     }
 
-    /// Whether `who` votes, under the identity of its disk.
+    /// Returns whether `who` is a voter with this disk identity.
     pub fn is_voter(&self, who: &Identity) -> bool {
         self.voters
             .get(&who.name)
             .is_some_and(|m| m.disk == who.disk)
     }
 
-    /// Whether `who` is a member, under the identity of its disk.
+    /// Returns whether `who` is a voter or learner with this disk identity.
     pub fn is_member(&self, who: &Identity) -> bool {
         self.member(&who.name).is_some_and(|m| m.disk == who.disk)
     }
 
-    /// Returns the member called `name`.
+    /// Returns the voter or learner called `name`.
     pub fn member(&self, name: &InstanceName) -> Option<&Member> {
         self.voters.get(name).or_else(|| self.learners.get(name))
     }
@@ -67,7 +67,7 @@
         self.voters.iter().chain(self.learners.iter())
     }
 
-    /// Identities of all members but `me`.
+    /// Returns the identities of all members except `me`, compared by name.
     pub fn others(&self, me: &Identity) -> Vec<Identity> {
         self.members()
             .filter(|(name, _)| **name != me.name)
@@ -78,7 +78,7 @@
             .collect()
     }
 
-    /// Members with the learner `name` made a voter.
+    /// Returns the membership with the learner `name` promoted to voter.
     pub fn promoted(&self, name: &InstanceName) -> Self {
         let mut next = self.clone();
         if let Some(member) = next.learners.remove(name) {
@@ -87,7 +87,7 @@
         next
     }
 
-    /// Members without `name`.
+    /// Returns the membership without `name`.
     pub fn without(&self, name: &InstanceName) -> Self {
         let mut next = self.clone();
         next.voters.remove(name);
@@ -95,7 +95,7 @@
         next
     }
 
-    /// Members with `name` as a learner.
+    /// Returns the membership with `name` added as a learner.
     pub fn with_learner(&self, name: &InstanceName, member: &Member) -> Self {
         let mut next = self.clone();
         next.learners.insert(name.clone(), member.clone());
--- a/decision/consensus/src/event.rs
+++ b/decision/consensus/src/event.rs
@@ -1,4 +1,4 @@
-//! What a node is told and what it asks for.
+//! Input events of a node and the actions it returns.
 
 use std::sync::Arc;
 
@@ -8,112 +8,112 @@
 
 use crate::{Change, Entry, Envelope, HardState, Identity, Index, ProposalId, Snapshot, Ticket};
 
-/// When an event happens.
+/// Clock readings at which an event is handled.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Moment {
-    /// Monotonic time of this process.
+    /// Monotonic clock of this process.
     pub now: Time,
-    /// Time since the epoch, which may step.
+    /// Wall clock since the Unix epoch, which may step.
     pub wall: Time,
 }
 
-/// What a node is told.
+/// An input of a node.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// Time went by.
+    /// Periodic timer; drives elections, heartbeats and resends.
     Tick,
-    /// A message arrived.
+    /// A message was received.
     Receive(Envelope),
     /// All writes up to this ticket are synced.
     Synced(Ticket),
-    /// The disk failed; nothing more will be synced.
+    /// The disk failed; no further write will be synced.
     DiskFailed,
     /// A command to replicate.
     Propose(ProposalId, Arc<[u8]>),
-    /// A wish to read what is committed now.
+    /// A linearizable read.
     Read(ProposalId),
-    /// A change to the members.
+    /// A membership change.
     Change(ProposalId, Change),
-    /// The machine's state after this position, to compact the log with.
+    /// State of the machine after this index, used to compact the log.
     Compact(Index, Arc<[u8]>),
-    /// This replica is about to stop and hands over leadership.
+    /// Starts a leadership transfer, as this replica is about to stop.
     Transfer,
 }
 
-/// What a node asks its shell to do, in this order.
+/// An action for the caller to perform, in the order returned.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Write and sync, then report [`Event::Synced`].
+    /// Write and sync, then report the ticket with [`Event::Synced`].
     Write(Write),
-    /// Send once all writes up to `after` are synced.
+    /// Send once all writes up to ticket `after` are synced.
     Send {
         /// Ticket that has to be synced first.
         after: Ticket,
-        /// Message.
+        /// Message with its receiver.
         envelope: Envelope,
     },
     /// Apply a committed entry.
     Apply(Entry),
-    /// Replace the machine's state.
+    /// Replace the state of the machine with a snapshot.
     Restore(Snapshot),
-    /// The proposal or change stands at this position in this term.
+    /// The proposal or change was appended at this index in this term.
     Accepted(ProposalId, Index, Term),
-    /// The proposal, change or read was not taken; it has no effect.
+    /// The proposal, change or read was rejected and has no effect.
     Rejected(ProposalId, Reject),
-    /// The read may be answered once this position is applied.
+    /// The read may be answered once this index is applied.
     ReadReady(ProposalId, Index),
-    /// A message meant for another disk was refused.
+    /// A message addressed to another disk was refused.
     Refused {
         /// Sender.
         from: Identity,
-        /// Identity that the sender had in mind.
+        /// Identity to which the message was addressed.
         intended: Identity,
     },
 }
 
-/// What has to reach the disk, as one write.
+/// Changes to persist as one write.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Write {
-    /// Number of the write.
+    /// Number of the write, reported back once it is synced.
     pub ticket: Ticket,
     /// Identity, term and vote, if they changed.
     pub hard: Option<HardState>,
-    /// Snapshot that allows older entries to be dropped.
+    /// Snapshot that replaces the entries it covers.
     pub snapshot: Option<Snapshot>,
-    /// Whether all entries on the disk are to be dropped for the snapshot.
+    /// Whether the snapshot replaces all entries on the disk.
     pub reset: bool,
-    /// Entries; the first one replaces all from its position on.
+    /// Entries to append; the first one replaces all stored entries from its index on.
     pub entries: Vec<Entry>,
 }
 
-/// Why a proposal, a change or a read was not taken.
+/// Reason for which a proposal, a change or a read is rejected.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 pub enum Reject {
-    /// Another replica leads, as far as known.
+    /// This replica is not the leader; holds the leader if known.
     #[display("this replica does not lead")]
     NotLeader(Option<Identity>),
-    /// The leader hands over leadership.
+    /// A leadership transfer is in progress.
     #[display("leadership is being handed over")]
     Transferring,
-    /// The leader cannot hear a quorum.
-    #[display("the leader does not hear a quorum")]
+    /// The leader has no contact with a quorum of voters.
+    #[display("the leader has no contact with a quorum")]
     NoQuorum,
     /// The disk of this replica failed.
     #[display("the disk of this replica failed")]
     DiskFailed,
-    /// Another change of members is under way.
-    #[display("another change of members is under way")]
+    /// Another membership change is not committed yet.
+    #[display("another membership change is in progress")]
     ChangePending,
-    /// A member of this name exists.
-    #[display("{_0} is a member already; remove it first")]
+    /// A member with this name already exists.
+    #[display("{_0} is already a member; remove it first")]
     AlreadyMember(InstanceName),
     /// No member has this name.
     #[display("{_0} is not a member")]
     NotMember(InstanceName),
-    /// The remaining voters could not commit.
-    #[display("without {_0} no quorum of voters would be heard")]
+    /// The reachable voters would not form a quorum after the removal.
+    #[display("without {_0} no quorum of voters would be reachable")]
     WouldLoseQuorum(InstanceName),
-    /// Too many entries wait for a quorum.
+    /// Too many entries are not committed yet.
     #[display("too many entries wait for a quorum")]
     Overloaded,
 }
--- a/decision/consensus/src/lib.rs
+++ b/decision/consensus/src/lib.rs
@@ -1,20 +1,18 @@
 //! Replicated log of the control replicas as a pure state machine.
 //!
-//! A [`Node`] is told events and the time, and returns actions: what to write
-//! and sync, which message may leave once which write is synced, which entries
-//! to apply. It performs no input or output, so every run under the same
-//! events, times and seed is the same run.
+//! A [`Node`] receives events with the current time and returns actions: data to
+//! write and sync, messages to send once a given write is synced, and entries to
+//! apply. It performs no I/O, so a run is determined by its events, times and seed.
 //!
-//! Terms, pre-vote, check-quorum, a leader lease, batched replication with
-//! bounded messages in flight, snapshots in chunks, learners, one membership
-//! change at a time and leadership transfer follow the usual rules of a log
-//! replicated by a leader. Two rules are particular to this package:
+//! The protocol is Raft with pre-vote, check-quorum, a leader lease, batched and
+//! pipelined replication, chunked snapshots, learners, single-server membership
+//! changes and leadership transfer. Two rules are particular to this package:
 //!
-//! - A replica is known by its name together with the random identity of its
-//!   disk. Votes and acknowledgements under another identity do not count, so a
-//!   replica that lost its disk has to come back as a learner.
+//! - A replica is identified by its name and the random identity of its disk.
+//!   Votes and acknowledgements under another identity do not count, so a
+//!   replica that lost its disk has to rejoin as a learner.
 //! - Every write has a [`Ticket`], and every message names the ticket that has
-//!   to be synced before it may leave.
+//!   to be synced before the message is sent.
 
 mod config;
 mod event;
--- a/decision/consensus/src/log.rs
+++ b/decision/consensus/src/log.rs
@@ -1,4 +1,4 @@
-//! Entries in memory, from the last compaction on.
+//! In-memory log from the last compaction on.
 
 use std::collections::VecDeque;
 
@@ -6,11 +6,11 @@
 
 use crate::{Config, Entry, Index, LogId, Payload, SnapshotMeta};
 
-/// Entries in memory, with the members that they declare.
+/// Log entries in memory with the memberships that they set.
 #[derive(Clone, Debug)]
 pub(crate) struct Log {
     base: LogId,
-    stamp: Time,
+    base_time: Time,
     entries: VecDeque<Entry>,
     configs: Vec<(Index, Config)>,
 }
@@ -21,51 +21,51 @@
         match snapshot {
             Some(meta) => Self {
                 base: meta.last,
-                stamp: meta.time,
+                base_time: meta.time,
                 entries: VecDeque::new(),
                 configs: vec![(meta.last.index, meta.config.clone())],
             },
             None => Self {
                 base: LogId::default(),
-                stamp: Time::ZERO,
+                base_time: Time::ZERO,
                 entries: VecDeque::new(),
                 configs: vec![(Index(0), Config::default())],
             },
         }
     }
 
-    /// Last entry, or the base if there is none.
+    /// Id of the last entry, or the base if there is none.
     pub(crate) fn last(&self) -> LogId {
         self.entries.back().map_or(self.base, |e| e.id)
     }
 
-    /// Entry before the first one held.
+    /// Id of the entry before the first one held.
     pub(crate) fn base(&self) -> LogId {
         self.base
     }
 
-    /// Time of the last entry.
-    pub(crate) fn stamp(&self) -> Time {
-        self.entries.back().map_or(self.stamp, |e| e.time)
+    /// Time of the last entry, or of the base if there is none.
+    pub(crate) fn last_time(&self) -> Time {
+        self.entries.back().map_or(self.base_time, |e| e.time)
     }
 
-    /// Members in force, committed or not.
+    /// Latest membership, committed or not.
     pub(crate) fn config(&self) -> &Config {
         &self.configs[self.configs.len() - 1].1
     }
 
-    /// Position at which the members in force were declared.
+    /// Index of the entry that set the latest membership.
     pub(crate) fn config_index(&self) -> Index {
         self.configs[self.configs.len() - 1].0
     }
 
-    /// Members in force at `index`, which must not lie before the base.
+    /// Membership as of `index`, which must not lie before the base.
     pub(crate) fn config_at(&self, index: Index) -> &Config {
         let at = self.configs.partition_point(|(i, _)| *i <= index);
         &self.configs[at.max(1) - 1].1
     }
 
-    /// Returns the entry at `index`.
+    /// Returns the entry at `index`, if it is held.
     pub(crate) fn get(&self, index: Index) -> Option<&Entry> {
         let offset = index.0.checked_sub(self.base.index.0 + 1)?;
         self.entries.get(usize::try_from(offset).ok()?)
@@ -79,7 +79,7 @@
         self.get(index).map(|e| e.id.term)
     }
 
-    /// Entries from `from` on, at least one and then up to `bytes`.
+    /// Returns entries from `from` on: at least one if held, more up to `bytes` in total.
     pub(crate) fn slice(&self, from: Index, bytes: usize) -> Vec<Entry> {
         let mut taken = Vec::new();
         let mut size = 0;
@@ -95,7 +95,7 @@
         taken
     }
 
-    /// Appends one entry, which must follow the last.
+    /// Appends an entry, which must directly follow the last one.
     pub(crate) fn push(&mut self, entry: Entry) {
         debug_assert_eq!(entry.id.index, self.last().index.next());
         if let Payload::Config(config) = &entry.payload {
@@ -104,7 +104,7 @@
         self.entries.push_back(entry);
     }
 
-    /// Drops all entries from `index` on.
+    /// Removes all entries from `index` on.
     pub(crate) fn truncate(&mut self, index: Index) {
         let kept = index.0.saturating_sub(self.base.index.0 + 1);
         self.entries
@@ -113,22 +113,22 @@
             .retain(|(i, _)| *i < index || *i <= self.base.index);
     }
 
-    /// Drops entries up to `index`, which must be held.
+    /// Removes the entries up to `index`; does nothing if `index` is not held.
     pub(crate) fn compact(&mut self, index: Index) {
         let Some(entry) = self.get(index) else {
             return;
         };
-        let (id, stamp) = (entry.id, entry.time);
+        let (id, time) = (entry.id, entry.time);
         let config = self.config_at(index).clone();
         let dropped = usize::try_from(index.0 - self.base.index.0).unwrap_or(usize::MAX);
         self.entries.drain(..dropped);
         self.configs.retain(|(i, _)| *i > index);
         self.configs.insert(0, (index, config));
         self.base = id;
-        self.stamp = stamp;
+        self.base_time = time;
     }
 
-    /// Highest position at or below `index` whose term does not exceed `term`.
+    /// Highest index at or below `index` whose term does not exceed `term`.
     pub(crate) fn hint(&self, index: Index, term: Term) -> Index {
         let mut at = index.min(self.last().index);
         while at > self.base.index && self.term_at(at).is_some_and(|t| t > term) {
--- a/decision/consensus/src/machine.rs
+++ b/decision/consensus/src/machine.rs
@@ -1,4 +1,4 @@
-//! The machine that the log drives, and the bookkeeping of its answers.
+//! The replicated state machine and the matching of its results to proposals.
 
 use std::collections::BTreeMap;
 
@@ -7,45 +7,47 @@
 
 use crate::{Entry, Index, Payload, ProposalId};
 
-/// A deterministic machine driven by the log.
+/// A deterministic state machine driven by the log.
 ///
-/// Equal commands in equal order must lead to equal answers and equal states on
-/// every replica.
+/// The same commands in the same order must lead to the same answers and states
+/// on every replica.
 pub trait Machine {
-    /// Applies the command at `index` and returns the answer to whoever proposed it.
+    /// Applies the command at `index` and returns the answer for its proposer.
     ///
-    /// `time` was set by the leader and never goes back from one entry to the next.
+    /// `time` is set by the leader and never decreases from one entry to the next.
     fn apply(&mut self, index: Index, time: Time, command: &[u8]) -> Vec<u8>;
 
-    /// Encodes the whole state.
+    /// Encodes the complete state.
     fn snapshot(&self) -> Vec<u8>;
 
-    /// Replaces the whole state.
+    /// Replaces the complete state.
+    ///
+    /// Fails if the bytes do not decode to a state.
     fn restore(&mut self, state: &[u8]) -> Result<(), RestoreError>;
 }
 
-/// The bytes are not a state of the machine.
+/// A snapshot does not decode to a state of the machine.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 #[display("the snapshot cannot be read: {detail}")]
 pub struct RestoreError {
-    /// What is wrong with the bytes.
+    /// What the decoder rejected.
     pub detail: String,
 }
 
 impl std::error::Error for RestoreError {}
 
-/// What became of a proposal.
+/// Outcome of a proposal.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// It was applied at this position with this answer.
+    /// Applied at this index with this answer.
     Applied(Index, Vec<u8>),
-    /// Another entry took its position; it will never be applied.
+    /// Replaced by another entry; it will never be applied.
     Replaced,
-    /// A snapshot jumped over its position; whether it was applied is not known.
+    /// Covered by an installed snapshot; it may or may not have been applied.
     Unknown,
 }
 
-/// Applies committed entries in order and matches the answers with proposals.
+/// Applies committed entries in order and matches the answers to proposals.
 pub struct Applier<M> {
     machine: M,
     applied: Index,
@@ -65,22 +67,22 @@
         }
     }
 
-    /// The machine.
+    /// Returns the machine for reads.
     pub fn machine(&self) -> &M {
         &self.machine
     }
 
-    /// Last position applied.
+    /// Index of the last applied entry.
     pub fn applied(&self) -> Index {
         self.applied
     }
 
-    /// Notes that a proposal stands at `index` in `term`; returns one that it replaced.
+    /// Registers a proposal at `index` in `term`; returns the one registered there before.
     pub fn accept(&mut self, id: ProposalId, index: Index, term: Term) -> Option<ProposalId> {
         self.waiting.insert(index, (term, id)).map(|(_, old)| old)
     }
 
-    /// Applies an entry; returns what became of the proposal that stood there.
+    /// Applies an entry; returns the outcome of the proposal registered at its index.
     pub fn apply(&mut self, entry: &Entry) -> Option<(ProposalId, Outcome)> {
         let index = entry.id.index;
         debug_assert_eq!(index, self.applied.next());
@@ -97,7 +99,7 @@
         }
     }
 
-    /// Replaces the machine's state as of `last`; returns proposals whose outcome is unknown.
+    /// Restores the state as of `last`; returns the covered proposals, whose outcome is unknown.
     pub fn restore(
         &mut self,
         last: Index,
@@ -106,14 +108,14 @@
         self.machine.restore(state)?;
         self.applied = last;
         let later = self.waiting.split_off(&last.next());
-        let jumped = std::mem::replace(&mut self.waiting, later);
-        Ok(jumped
+        let covered = std::mem::replace(&mut self.waiting, later);
+        Ok(covered
             .into_values()
             .map(|(_, id)| (id, Outcome::Unknown))
             .collect())
     }
 
-    /// Gives up on a proposal, whose outcome stays unknown to whoever waits.
+    /// Removes a proposal whose caller no longer waits; its outcome is not reported.
     pub fn abandon(&mut self, id: ProposalId) {
         self.waiting.retain(|_, (_, other)| *other != id);
     }
--- a/decision/consensus/src/message.rs
+++ b/decision/consensus/src/message.rs
@@ -7,129 +7,129 @@
 
 use crate::{ClusterId, Config, Entry, Identity, Index, LogId};
 
-/// A message with its sender and the identity that it is meant for.
+/// A message with its sender and receiver.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Envelope {
     /// Log that the sender belongs to.
     pub cluster: ClusterId,
     /// Sender.
     pub from: Identity,
-    /// Receiver; a replica with another disk refuses the message.
+    /// Receiver; a replica with another disk identity refuses the message.
     pub to: Identity,
     /// Term of the sender; the proposed term in a pre-vote.
     pub term: Term,
-    /// Content.
+    /// Payload.
     pub body: Message,
 }
 
-/// Content of a message.
+/// Payload of a message.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Message {
-    /// Asks whether a candidacy would succeed.
+    /// Asks whether a vote would be granted, without starting a term.
     PreVote {
         /// Last entry of the sender.
         last: LogId,
     },
     /// Answers a pre-vote.
     PreVoteReply {
-        /// Whether the receiver may stand.
+        /// Whether the receiver may start an election.
         granted: bool,
     },
-    /// Asks for a vote.
+    /// Requests a vote.
     Vote {
         /// Last entry of the candidate.
         last: LogId,
-        /// Whether the leader asked the candidate to stand.
+        /// Whether the election is part of a leadership transfer.
         transfer: bool,
     },
-    /// Answers a candidate.
+    /// Answers a vote request.
     VoteReply {
-        /// Whether the vote was given.
+        /// Whether the vote was granted.
         granted: bool,
     },
-    /// Keeps the leader's lease without touching the log.
+    /// Renews the leader's lease without changing the log.
     Heartbeat {
-        /// Committed position, no higher than what the receiver acknowledged.
+        /// Commit index, capped at what the receiver acknowledged.
         commit: Index,
-        /// Time at which it left, on the leader's clock.
+        /// Send time on the leader's clock.
         sent: Time,
     },
     /// Answers a heartbeat.
     HeartbeatReply {
-        /// Time from the heartbeat.
+        /// Send time copied from the heartbeat.
         sent: Time,
     },
     /// Appends entries after `prev`.
     Append {
-        /// Entry before the first one.
+        /// Id of the entry before the first one sent.
         prev: LogId,
         /// Entries to append.
         entries: Vec<Entry>,
-        /// Committed position.
+        /// Commit index of the leader.
         commit: Index,
-        /// Time at which it left, on the leader's clock.
+        /// Send time on the leader's clock.
         sent: Time,
     },
-    /// The log agrees with the leader's up to here and is synced.
+    /// Acknowledges that the log matches the leader's up to an index and is synced.
     Appended {
-        /// Last position that agrees.
+        /// Last matching index.
         matched: Index,
-        /// Time from the append.
+        /// Send time copied from the append.
         sent: Time,
     },
-    /// The log does not hold the entry before the first one.
+    /// Rejects an append, as the log does not hold the entry `prev`.
     Mismatch {
-        /// Position that was asked for.
+        /// Index of the missing entry.
         prev: Index,
-        /// Highest position that may agree.
+        /// Highest index that may match.
         hint: Index,
-        /// Time from the append.
+        /// Send time copied from the append.
         sent: Time,
     },
-    /// One part of a snapshot.
+    /// One chunk of a snapshot.
     Chunk {
-        /// What the snapshot covers.
+        /// Metadata of the snapshot.
         meta: SnapshotMeta,
-        /// Position of this part, bytes.
+        /// Offset of this chunk in bytes.
         offset: u64,
-        /// Content of this part.
+        /// Bytes of this chunk.
         data: Arc<[u8]>,
-        /// Time at which it left, on the leader's clock.
+        /// Send time on the leader's clock.
         sent: Time,
     },
-    /// Answers a part of a snapshot.
+    /// Answers a chunk of a snapshot.
     ChunkReply {
-        /// Entry that the snapshot ends with.
+        /// Id of the last entry that the snapshot covers.
         last: LogId,
-        /// Position of the part that is wanted next, bytes.
+        /// Offset of the next expected chunk in bytes.
         next: u64,
-        /// Whether the receiver has the snapshot, synced.
+        /// Whether the complete snapshot is installed and synced.
         done: bool,
-        /// Time from the part.
+        /// Send time copied from the chunk.
         sent: Time,
     },
-    /// Tells the receiver to stand for election at once.
+    /// Makes the receiver start an election without waiting for its timeout.
     TimeoutNow,
-    /// The receiver's term is over; proves nothing else, so it keeps no lease.
+    /// Reports that the receiver's term is outdated; does not renew its lease.
     Stale,
-    /// The receiver is not who the message was meant for.
+    /// Reports that a message was addressed to a disk that its receiver does not have.
     Refused {
-        /// Identity that the sender had in mind.
+        /// Identity to which the message was addressed.
         intended: Identity,
     },
 }
 
-/// What a snapshot covers.
+/// Metadata of a snapshot.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct SnapshotMeta {
-    /// Last entry that it covers.
+    /// Id of the last entry that it covers.
     pub last: LogId,
     /// Time of that entry.
     pub time: Time,
-    /// Members as of that entry.
+    /// Membership as of that entry.
     pub config: Config,
-    /// Size of the state, bytes.
+    /// Size of the state in bytes.
     pub size: u64,
-    /// Checksum of the state.
+    /// CRC-32 of the state.
     pub checksum: u32,
 }
--- a/decision/consensus/src/node/catchup.rs
+++ b/decision/consensus/src/node/catchup.rs
@@ -1,17 +1,19 @@
-//! Snapshots: compaction, sending in parts and installation.
+//! Snapshots: log compaction, transfer in chunks and installation.
 
 use std::sync::Arc;
 
 use pimentotide_model::Time;
 
-use super::{Assembly, Need, Node};
+use super::{Durability, IncomingSnapshot, Node};
 use crate::log::Log;
 use crate::message::SnapshotMeta;
 use crate::progress::Flow;
 use crate::{Action, Identity, Index, LogId, Message, Snapshot};
 
 impl Node {
-    /// Compacts the log with the machine's state after `index`.
+    /// Compacts the log with the state of the machine after `index`.
+    ///
+    /// Ignores an index that is not applied or not newer than the newest snapshot.
     pub(super) fn compact(&mut self, index: Index, data: Arc<[u8]>) {
         let newest = self.snapshot.as_ref().map(|s| s.meta.last.index);
         let Some(entry) = self.log.get(index) else {
@@ -29,13 +31,15 @@
         };
         let snapshot = Snapshot { meta, data };
         self.snapshot = Some(snapshot.clone());
-        self.draft.snapshot = Some(snapshot);
+        self.pending_write.snapshot = Some(snapshot);
         let kept = Index(index.0.saturating_sub(self.options.retained_entries));
         self.log.compact(kept);
     }
 
-    /// Switches a peer to a snapshot, as the entries it lacks are gone.
-    pub(super) fn start_install(&mut self, who: &Identity) -> bool {
+    /// Switches a peer to snapshot transfer, as the entries it needs are compacted.
+    ///
+    /// Returns whether there is a snapshot to send.
+    pub(super) fn start_snapshot(&mut self, who: &Identity) -> bool {
         let Some(snapshot) = self.snapshot.clone() else {
             return false;
         };
@@ -49,10 +53,12 @@
         true
     }
 
-    /// Sends the part that is due; returns false as one part at a time is under way.
+    /// Sends the next chunk unless one is in flight.
+    ///
+    /// Always returns false: only one chunk may be in flight.
     pub(super) fn send_chunk(&mut self, who: &Identity) -> bool {
         let now = self.at.now;
-        let most = self.options.max_chunk_bytes as u64;
+        let max_bytes = self.options.max_chunk_bytes as u64;
         let Some(peer) = self.peer(who) else {
             return false;
         };
@@ -68,14 +74,14 @@
             return false;
         }
         *sent = Some(now);
-        let end = snapshot.meta.size.min(*offset + most);
+        let end = snapshot.meta.size.min(*offset + max_bytes);
         let body = Message::Chunk {
             meta: snapshot.meta.clone(),
             offset: *offset,
             data: Arc::from(&snapshot.data[range(*offset, end)]),
             sent: now,
         };
-        self.send(who, body, Need::Hard);
+        self.send(who, body, Durability::Hard);
         false
     }
 
@@ -90,7 +96,7 @@
         let Some(peer) = self.peer(from) else {
             return;
         };
-        peer.heard(sent);
+        peer.record_answer(sent);
         if let Flow::Install {
             snapshot,
             offset,
@@ -99,7 +105,7 @@
             && snapshot.meta.last == last
         {
             if done {
-                peer.matched(last.index);
+                peer.record_match(last.index);
             } else if next <= snapshot.meta.size && next != *offset {
                 *offset = next;
                 *sent = None;
@@ -108,7 +114,7 @@
         self.advance_commit();
         self.serve_reads();
         self.promote();
-        self.feed(from);
+        self.send_available(from);
     }
 
     pub(super) fn on_chunk(
@@ -119,16 +125,16 @@
         data: &[u8],
         sent: Time,
     ) {
-        self.hear(from);
+        self.on_leader_contact(from);
         let last = meta.last;
         let size = meta.size;
         if last.index <= self.commit {
             self.reply_chunk(from, last, size, true, sent);
             return;
         }
-        let held = self.assemble(meta, offset, data);
-        if held < size {
-            self.reply_chunk(from, last, held, false, sent);
+        let received = self.add_chunk(meta, offset, data);
+        if received < size {
+            self.reply_chunk(from, last, received, false, sent);
             return;
         }
         let installed = self.install();
@@ -143,51 +149,57 @@
             done,
             sent,
         };
-        let need = if done { Need::Log } else { Need::Hard };
-        self.send(to, body, need);
+        let durability = if done {
+            Durability::Log
+        } else {
+            Durability::Hard
+        };
+        self.send(to, body, durability);
     }
 
-    /// Adds a part if it is the next one; returns how many bytes are held.
-    fn assemble(&mut self, meta: SnapshotMeta, offset: u64, data: &[u8]) -> u64 {
-        let assembly = match self.assembly.take().filter(|a| a.meta == meta) {
-            Some(assembly) => self.assembly.insert(assembly),
-            None => self.assembly.insert(Assembly {
+    /// Adds a chunk if it is the next one; returns the number of bytes received so far.
+    fn add_chunk(&mut self, meta: SnapshotMeta, offset: u64, data: &[u8]) -> u64 {
+        let incoming = match self.incoming.take().filter(|a| a.meta == meta) {
+            Some(incoming) => self.incoming.insert(incoming),
+            None => self.incoming.insert(IncomingSnapshot {
                 meta,
                 data: Vec::new(),
             }),
         };
-        if assembly.data.len() as u64 == offset {
-            assembly.data.extend_from_slice(data);
+        if incoming.data.len() as u64 == offset {
+            incoming.data.extend_from_slice(data);
         }
-        assembly.data.len() as u64
+        incoming.data.len() as u64
     }
 
-    /// Puts the whole snapshot in place of the log; returns whether its checksum holds.
+    /// Installs the received snapshot; returns whether its checksum matches.
+    ///
+    /// Keeps the entries after the snapshot if the log contains its last entry.
     fn install(&mut self) -> bool {
-        let Some(Assembly { meta, data }) = self.assembly.take() else {
+        let Some(IncomingSnapshot { meta, data }) = self.incoming.take() else {
             return false;
         };
         if crc32fast::hash(&data) != meta.checksum {
             return false;
         }
         let last = meta.last;
-        let follows = self.log.term_at(last.index) == Some(last.term);
+        let contained = self.log.term_at(last.index) == Some(last.term);
         let snapshot = Snapshot {
             meta,
             data: Arc::from(data),
         };
-        if follows {
+        if contained {
             self.log.compact(last.index);
         } else {
             self.log = Log::new(Some(&snapshot.meta));
             self.durable = self.durable.min(last.index);
             self.unsynced.clear();
-            self.draft.reset = true;
+            self.pending_write.reset = true;
         }
         self.commit = last.index;
         self.applied = last.index;
         self.snapshot = Some(snapshot.clone());
-        self.draft.snapshot = Some(snapshot.clone());
+        self.pending_write.snapshot = Some(snapshot.clone());
         self.actions.push(Action::Restore(snapshot));
         true
     }
--- a/decision/consensus/src/node/election.rs
+++ b/decision/consensus/src/node/election.rs
@@ -1,10 +1,10 @@
-//! Pre-vote, election and stepping down.
+//! Pre-votes, elections and changes of role.
 
 use std::collections::BTreeSet;
 
 use pimentotide_model::Term;
 
-use super::{Need, Node, Role};
+use super::{Durability, Node, Role};
 use crate::{Identity, LogId, Message, Reject};
 
 impl Node {
@@ -17,11 +17,11 @@
         if alone && !matches!(self.role, Role::Candidate { .. }) {
             self.campaign(false);
         } else if self.at.now >= self.deadline {
-            self.ask_for_pre_votes();
+            self.start_pre_vote();
         }
     }
 
-    fn ask_for_pre_votes(&mut self) {
+    fn start_pre_vote(&mut self) {
         self.reset_deadline();
         self.leader = None;
         self.role = Role::PreCandidate {
@@ -30,11 +30,11 @@
         let last = self.log.last();
         let term = self.hard.term.next();
         for peer in self.other_voters() {
-            self.send_in(term, &peer, Message::PreVote { last }, Need::Hard);
+            self.send_in(term, &peer, Message::PreVote { last }, Durability::Hard);
         }
     }
 
-    /// Opens a new term and asks the other voters for their votes.
+    /// Starts an election in a new term.
     pub(super) fn campaign(&mut self, transfer: bool) {
         self.reset_deadline();
         self.leader = None;
@@ -43,12 +43,12 @@
         self.save_hard();
         self.role = Role::Candidate {
             granted: BTreeSet::new(),
-            // The own vote counts once it is synced.
-            ticket: self.ticket(Need::Hard),
+            // The own vote does not count before it is synced.
+            ticket: self.ticket(Durability::Hard),
         };
         let last = self.log.last();
         for peer in self.other_voters() {
-            self.send(&peer, Message::Vote { last, transfer }, Need::Hard);
+            self.send(&peer, Message::Vote { last, transfer }, Durability::Hard);
         }
     }
 
@@ -65,13 +65,18 @@
     pub(super) fn on_pre_vote(&mut self, from: &Identity, term: Term, last: LogId) {
         let granted = term > self.hard.term && !self.supports_leader() && last >= self.log.last();
         let answer = if granted { term } else { self.hard.term };
-        self.send_in(answer, from, Message::PreVoteReply { granted }, Need::Hard);
+        self.send_in(
+            answer,
+            from,
+            Message::PreVoteReply { granted },
+            Durability::Hard,
+        );
     }
 
     pub(super) fn on_pre_vote_reply(&mut self, from: Identity, term: Term, granted: bool) {
         if !granted {
             if term > self.hard.term {
-                self.follow(term, None);
+                self.become_follower(term, None);
             }
             return;
         }
@@ -89,16 +94,20 @@
     }
 
     pub(super) fn on_vote(&mut self, from: &Identity, term: Term, last: LogId, transfer: bool) {
-        let bound = self.supports_leader() && !transfer;
-        if bound || term < self.hard.term {
-            self.send(from, Message::VoteReply { granted: false }, Need::Hard);
+        let blocked = self.supports_leader() && !transfer;
+        if blocked || term < self.hard.term {
+            self.send(
+                from,
+                Message::VoteReply { granted: false },
+                Durability::Hard,
+            );
             return;
         }
         if term > self.hard.term {
-            self.follow(term, None);
+            self.become_follower(term, None);
         }
-        let free = self.hard.vote.as_ref().is_none_or(|v| v == from);
-        let granted = free && last >= self.log.last();
+        let available = self.hard.vote.as_ref().is_none_or(|v| v == from);
+        let granted = available && last >= self.log.last();
         if granted && self.hard.vote.is_none() {
             self.hard.vote = Some(from.clone());
             self.save_hard();
@@ -106,7 +115,7 @@
         if granted {
             self.reset_deadline();
         }
-        self.send(from, Message::VoteReply { granted }, Need::Hard);
+        self.send(from, Message::VoteReply { granted }, Durability::Hard);
     }
 
     pub(super) fn on_vote_reply(&mut self, from: Identity, granted: bool) {
@@ -123,20 +132,20 @@
             return;
         };
         if self.is_majority(&granted.clone()) {
-            self.lead();
+            self.become_leader();
         }
     }
 
-    /// Stands at once, as the leader of this term asked for it.
+    /// Starts an election at once on request of the leader of this term.
     pub(super) fn on_timeout_now(&mut self, from: &Identity) {
-        let asked = self.leader.as_ref() == Some(from);
-        if asked && self.log.config().is_voter(&self.hard.identity) {
+        let from_leader = self.leader.as_ref() == Some(from);
+        if from_leader && self.log.config().is_voter(&self.hard.identity) {
             self.campaign(true);
         }
     }
 
-    /// Follows in `term`; a leader that hears of a newer term ends here.
-    pub(super) fn follow(&mut self, term: Term, leader: Option<Identity>) {
+    /// Becomes a follower in `term`, ending leadership if this node is the leader.
+    pub(super) fn become_follower(&mut self, term: Term, leader: Option<Identity>) {
         if matches!(self.role, Role::Leader(_)) {
             self.end_leadership(&Reject::NotLeader(leader.clone()));
             self.reset_deadline();
@@ -150,13 +159,14 @@
         self.leader = leader;
     }
 
-    /// Whether this node must not help another candidate: a leader was heard just now.
+    /// Returns whether another candidate must be rejected.
     ///
-    /// The leader's lease relies on this refusal.
+    /// A leader holds its lease only because its followers reject other candidates
+    /// for the minimum election timeout after each contact.
     fn supports_leader(&self) -> bool {
         match &self.role {
             Role::Leader(_) => self.holds_lease(),
-            _ => self.at.now < self.heard + self.options.election_timeout,
+            _ => self.at.now < self.leader_contact + self.options.election_timeout,
         }
     }
 
--- a/decision/consensus/src/node/follower.rs
+++ b/decision/consensus/src/node/follower.rs
@@ -1,33 +1,33 @@
-//! What a follower does with its leader's messages.
+//! Handling of a leader's messages by a follower.
 
 use pimentotide_model::Time;
 
-use super::{Need, Node};
+use super::{Durability, Node};
 use crate::{Entry, Identity, Index, LogId, Message};
 
 impl Node {
-    /// Tells a leader or candidate of an old term that it is over.
+    /// Answers a message from a leader of an old term; other old messages are ignored.
     pub(super) fn answer_stale(&mut self, from: &Identity, body: &Message) {
         let leads = matches!(
             body,
             Message::Heartbeat { .. } | Message::Append { .. } | Message::Chunk { .. }
         );
         if leads {
-            self.send(from, Message::Stale, Need::Hard);
+            self.send(from, Message::Stale, Durability::Hard);
         }
     }
 
-    /// Notes that the leader of this term was heard.
-    pub(super) fn hear(&mut self, leader: &Identity) {
-        self.follow(self.hard.term, Some(leader.clone()));
-        self.heard = self.at.now;
+    /// Records contact with the leader of the current term.
+    pub(super) fn on_leader_contact(&mut self, leader: &Identity) {
+        self.become_follower(self.hard.term, Some(leader.clone()));
+        self.leader_contact = self.at.now;
         self.reset_deadline();
     }
 
     pub(super) fn on_heartbeat(&mut self, from: &Identity, commit: Index, sent: Time) {
-        self.hear(from);
+        self.on_leader_contact(from);
         self.commit_to(commit.min(self.log.last().index));
-        self.send(from, Message::HeartbeatReply { sent }, Need::Hard);
+        self.send(from, Message::HeartbeatReply { sent }, Durability::Hard);
     }
 
     pub(super) fn on_append(
@@ -38,11 +38,11 @@
         commit: Index,
         sent: Time,
     ) {
-        self.hear(from);
+        self.on_leader_contact(from);
         let base = self.log.base();
         let mut prev = prev;
         if prev.index < base.index {
-            // All up to the base is committed, so it agrees with the leader's log.
+            // Entries up to the base are committed, so they match the leader's log.
             entries.retain(|e| e.id.index > base.index);
             prev = base;
         }
@@ -53,16 +53,16 @@
                 hint,
                 sent,
             };
-            self.send(from, body, Need::Hard);
+            self.send(from, body, Durability::Hard);
             return;
         }
         let matched = entries.last().map_or(prev.index, |e| e.id.index);
         self.merge(entries);
         self.commit_to(commit.min(matched));
-        self.send(from, Message::Appended { matched, sent }, Need::Log);
+        self.send(from, Message::Appended { matched, sent }, Durability::Log);
     }
 
-    /// Adds entries that are new, after dropping those that they replace.
+    /// Appends missing entries, after removing conflicting ones.
     fn merge(&mut self, entries: Vec<Entry>) {
         for entry in entries {
             let held = self.log.term_at(entry.id.index);
--- a/decision/consensus/src/node/leader.rs
+++ b/decision/consensus/src/node/leader.rs
@@ -1,4 +1,4 @@
-//! A leader's own state, its proposals and its timers.
+//! State of a leader, its proposals, its timers and the commit index.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -9,44 +9,44 @@
 use crate::progress::Progress;
 use crate::{Action, Entry, Identity, Index, LogId, Payload, ProposalId, Reject};
 
-/// What a leader keeps for its term.
+/// State of a leader, kept for one term.
 #[derive(Clone, Debug)]
 pub(super) struct Leadership {
-    /// When the term was won.
+    /// Time of the election.
     pub(super) elected: Time,
-    /// Lowest time for entries of the term.
-    pub(super) stamp: Time,
-    /// Position of the first entry of the term.
+    /// Minimum time of entries of the term.
+    pub(super) min_time: Time,
+    /// Index of the first entry of the term.
     pub(super) first: Index,
-    /// The other members.
+    /// Progress of the other members.
     pub(super) peers: BTreeMap<InstanceName, Progress>,
-    /// Reads that wait for proof of leadership.
+    /// Reads that wait for a lease or for a newer quorum acknowledgement.
     pub(super) reads: Vec<PendingRead>,
-    /// When heartbeats leave next.
-    pub(super) beat: Time,
-    /// Handover under way.
+    /// Time of the next heartbeats.
+    pub(super) next_heartbeat: Time,
+    /// Leadership transfer in progress.
     pub(super) transfer: Option<Transfer>,
 }
 
-/// A read that waits for proof of leadership.
+/// A read that waits for a lease or for a newer quorum acknowledgement.
 #[derive(Clone, Debug)]
 pub(super) struct PendingRead {
     pub(super) id: ProposalId,
-    pub(super) asked: Time,
+    pub(super) requested_at: Time,
 }
 
-/// A handover of leadership.
+/// A leadership transfer.
 #[derive(Clone, Debug)]
 pub(super) struct Transfer {
     pub(super) target: Identity,
-    pub(super) until: Time,
-    /// Whether the target was told to stand; the lease is void from then on.
-    pub(super) told: bool,
+    pub(super) deadline: Time,
+    /// Whether the target was asked to start an election, which voids the lease.
+    pub(super) requested: bool,
 }
 
 impl Node {
-    /// Takes up leadership of the current term.
-    pub(super) fn lead(&mut self) {
+    /// Becomes the leader of the current term.
+    pub(super) fn become_leader(&mut self) {
         let now = self.at.now;
         let next = self.log.last().index.next();
         let others = self.log.config().others(&self.hard.identity);
@@ -56,20 +56,20 @@
             .collect();
         self.role = Role::Leader(Box::new(Leadership {
             elected: now,
-            stamp: self.log.stamp().max(self.at.wall),
+            min_time: self.log.last_time().max(self.at.wall),
             first: next,
             peers,
             reads: Vec::new(),
-            beat: now,
+            next_heartbeat: now,
             transfer: None,
         }));
         self.leader = Some(self.hard.identity.clone());
-        self.assembly = None;
-        self.append_own(Payload::Noop);
+        self.incoming = None;
+        self.append_entry(Payload::Noop);
         self.tick_leader();
     }
 
-    /// Ends leadership without a new term being known.
+    /// Ends leadership and rejects pending reads; the term stays.
     pub(super) fn end_leadership(&mut self, reason: &Reject) {
         let Role::Leader(state) = std::mem::replace(&mut self.role, Role::Follower) else {
             return;
@@ -81,7 +81,7 @@
 
     pub(super) fn step_down(&mut self) {
         let term = self.hard.term;
-        self.follow(term, None);
+        self.become_follower(term, None);
     }
 
     pub(super) fn tick_leader(&mut self) {
@@ -91,50 +91,50 @@
         let overdue = state
             .transfer
             .as_ref()
-            .is_some_and(|t| self.at.now >= t.until);
-        let deaf = self.at.now >= self.quorum_heard() + self.options.election_timeout;
-        if overdue || deaf {
+            .is_some_and(|t| self.at.now >= t.deadline);
+        let isolated = self.at.now >= self.quorum_contact() + self.options.election_timeout;
+        if overdue || isolated {
             self.step_down();
             return;
         }
-        self.beat();
+        self.heartbeat_if_due();
         self.resend();
         self.serve_reads();
     }
 
     pub(super) fn propose(&mut self, id: ProposalId, command: Arc<[u8]>) {
-        if let Some(reason) = self.refuses_proposals() {
+        if let Some(reason) = self.proposal_rejection() {
             self.reject(id, reason);
             return;
         }
-        let index = self.append_own(Payload::Command(command));
+        let index = self.append_entry(Payload::Command(command));
         let term = self.hard.term;
         self.actions.push(Action::Accepted(id, index, term));
         self.replicate();
     }
 
-    /// Why proposals are not taken now.
-    pub(super) fn refuses_proposals(&self) -> Option<Reject> {
+    /// Reason for which proposals are rejected now, if any.
+    pub(super) fn proposal_rejection(&self) -> Option<Reject> {
         let Role::Leader(state) = &self.role else {
             return Some(Reject::NotLeader(self.leader.clone()));
         };
-        let settled = self.at.now >= state.elected + self.options.election_timeout;
-        let waiting = self.log.last().index.0 - self.commit.0;
+        let grace_over = self.at.now >= state.elected + self.options.election_timeout;
+        let uncommitted = self.log.last().index.0 - self.commit.0;
         if state.transfer.is_some() {
             Some(Reject::Transferring)
-        } else if settled && !self.holds_lease() {
+        } else if grace_over && !self.holds_lease() {
             Some(Reject::NoQuorum)
-        } else if waiting >= self.options.max_uncommitted {
+        } else if uncommitted >= self.options.max_uncommitted {
             Some(Reject::Overloaded)
         } else {
             None
         }
     }
 
-    /// Appends an entry of the current term and returns its position.
-    pub(super) fn append_own(&mut self, payload: Payload) -> Index {
+    /// Appends an entry of the current term and returns its index.
+    pub(super) fn append_entry(&mut self, payload: Payload) -> Index {
         let index = self.log.last().index.next();
-        let time = self.stamp();
+        let time = self.next_time();
         let id = LogId {
             term: self.hard.term,
             index,
@@ -143,16 +143,16 @@
         index
     }
 
-    /// Time for the next entry: rises with the leader's own clock, never steps back.
-    fn stamp(&self) -> Time {
-        let last = self.log.stamp();
+    /// Time of the next entry: advances with the leader's monotonic clock and never decreases.
+    fn next_time(&self) -> Time {
+        let last = self.log.last_time();
         match &self.role {
-            Role::Leader(state) => last.max(state.stamp + self.at.now.since(state.elected)),
+            Role::Leader(state) => last.max(state.min_time + self.at.now.since(state.elected)),
             _ => last,
         }
     }
 
-    /// Commits what a quorum has synced, if the newest of it is of the current term.
+    /// Commits entries that a quorum has synced, if the last of them is of the current term.
     pub(super) fn advance_commit(&mut self) {
         let Role::Leader(state) = &self.role else {
             return;
@@ -163,8 +163,8 @@
             if *name == self.hard.identity.name {
                 matched.push(self.durable);
             } else if let Some(peer) = state.peers.get(name) {
-                let known = peer.identity.disk == member.disk;
-                matched.push(if known { peer.matched } else { Index(0) });
+                let same_disk = peer.identity.disk == member.disk;
+                matched.push(if same_disk { peer.matched } else { Index(0) });
             }
         }
         matched.sort_unstable_by(|a, b| b.cmp(a));
@@ -179,12 +179,12 @@
     }
 
     fn after_commit(&mut self) {
-        let settled = self.log.config_index() <= self.commit;
-        let left = !self.log.config().is_voter(&self.hard.identity);
-        if settled && left {
-            // The others learn of the commit before the removed leader falls silent.
+        let committed = self.log.config_index() <= self.commit;
+        let removed = !self.log.config().is_voter(&self.hard.identity);
+        if committed && removed {
+            // The others receive the commit index before the removed leader stops sending.
             self.send_heartbeats();
-            self.hand_over_at_once();
+            self.transfer_now();
             self.step_down();
             return;
         }
@@ -192,8 +192,8 @@
         self.promote();
     }
 
-    /// Whether an entry of the current term is committed.
-    pub(super) fn is_established(&self) -> bool {
+    /// Returns whether an entry of the current term is committed.
+    pub(super) fn has_committed_in_term(&self) -> bool {
         match &self.role {
             Role::Leader(state) => self.commit >= state.first,
             _ => false,
--- a/decision/consensus/src/node/lease.rs
+++ b/decision/consensus/src/node/lease.rs
@@ -1,13 +1,15 @@
-//! Leader lease, reads and handover of leadership.
+//! Leader lease, linearizable reads and leadership transfer.
 
 use pimentotide_model::Time;
 
 use super::leader::{PendingRead, Transfer};
-use super::{Need, Node, Role};
+use super::{Durability, Node, Role};
 use crate::{Action, Identity, Message, ProposalId, Reject};
 
 impl Node {
-    /// Newest time such that a quorum answered messages sent then or later.
+    /// Latest time such that a quorum answered messages sent then or later.
+    ///
+    /// Voters without an answer count with `missing`.
     fn quorum_acked(&self, now: Time, missing: Option<Time>) -> Option<Time> {
         let Role::Leader(state) = &self.role else {
             return None;
@@ -19,16 +21,16 @@
                 acked.push(Some(now));
             } else {
                 let peer = state.peers.get(name);
-                let known = peer.filter(|p| p.identity.disk == member.disk);
-                acked.push(known.and_then(|p| p.acked).or(missing));
+                let current = peer.filter(|p| p.identity.disk == member.disk);
+                acked.push(current.and_then(|p| p.acked).or(missing));
             }
         }
         acked.sort_unstable_by(|a, b| b.cmp(a));
         acked.get(config.quorum() - 1).copied().flatten()
     }
 
-    /// When a quorum was heard last, counting from the election.
-    pub(super) fn quorum_heard(&self) -> Time {
+    /// Time of the last contact with a quorum; the election counts as contact.
+    pub(super) fn quorum_contact(&self) -> Time {
         let Role::Leader(state) = &self.role else {
             return Time::ZERO;
         };
@@ -36,42 +38,42 @@
             .unwrap_or(state.elected)
     }
 
-    /// Whether no other replica can have been elected yet.
+    /// Returns whether the lease is valid, so that no other replica can have been elected.
     pub(super) fn holds_lease(&self) -> bool {
         self.holds_lease_at(self.at.now)
     }
 
-    /// Whether no other replica can have been elected by `now`.
+    /// Returns whether the lease is valid at `now`.
     pub(super) fn holds_lease_at(&self, now: Time) -> bool {
         let Role::Leader(state) = &self.role else {
             return false;
         };
-        let told = state.transfer.as_ref().is_some_and(|t| t.told);
+        let transferred = state.transfer.as_ref().is_some_and(|t| t.requested);
         let lease = self.options.lease();
         let valid = self
             .quorum_acked(now, None)
             .is_some_and(|acked| now < acked + lease);
-        valid && !told
+        valid && !transferred
     }
 
     pub(super) fn read(&mut self, id: ProposalId) {
-        let asked = self.at.now;
+        let requested_at = self.at.now;
         let leader = self.leader.clone();
         match &mut self.role {
             Role::Leader(state) if state.transfer.is_some() => {
                 self.reject(id, Reject::Transferring);
             }
             Role::Leader(state) => {
-                state.reads.push(PendingRead { id, asked });
+                state.reads.push(PendingRead { id, requested_at });
                 self.serve_reads();
             }
             _ => self.reject(id, Reject::NotLeader(leader)),
         }
     }
 
-    /// Releases reads under the lease, or after a quorum answered a later message.
+    /// Releases reads under a valid lease, or once a quorum answered a message sent later.
     pub(super) fn serve_reads(&mut self) {
-        if !self.is_established() {
+        if !self.has_committed_in_term() {
             return;
         }
         let leased = self.holds_lease();
@@ -82,16 +84,16 @@
         };
         let (ready, waiting) = std::mem::take(&mut state.reads)
             .into_iter()
-            .partition::<Vec<_>, _>(|r| leased || acked.is_some_and(|a| a > r.asked));
+            .partition::<Vec<_>, _>(|r| leased || acked.is_some_and(|a| a > r.requested_at));
         state.reads = waiting;
         for read in ready {
             self.actions.push(Action::ReadReady(read.id, commit));
         }
     }
 
-    /// Starts to hand over to the voter that has most of the log.
+    /// Starts a leadership transfer to the most up-to-date voter.
     pub(super) fn transfer(&mut self) {
-        let until = self.at.now + self.options.election_timeout;
+        let deadline = self.at.now + self.options.election_timeout;
         let Some(target) = self.successor() else {
             return;
         };
@@ -103,8 +105,8 @@
         }
         state.transfer = Some(Transfer {
             target,
-            until,
-            told: false,
+            deadline,
+            requested: false,
         });
         for read in std::mem::take(&mut state.reads) {
             self.reject(read.id, Reject::Transferring);
@@ -112,7 +114,7 @@
         self.continue_transfer();
     }
 
-    /// Tells the successor to stand once it has the whole log.
+    /// Asks the successor to start an election once it has the complete log.
     pub(super) fn continue_transfer(&mut self) {
         let last = self.log.last().index;
         let Role::Leader(state) = &mut self.role else {
@@ -126,16 +128,16 @@
             .peers
             .get(&target.name)
             .is_some_and(|p| p.matched == last);
-        if ready && !transfer.told {
-            transfer.told = true;
-            self.send(&target, Message::TimeoutNow, Need::Hard);
+        if ready && !transfer.requested {
+            transfer.requested = true;
+            self.send(&target, Message::TimeoutNow, Durability::Hard);
         }
     }
 
-    /// Tells the best successor to stand, without waiting for its log.
-    pub(super) fn hand_over_at_once(&mut self) {
+    /// Asks the most up-to-date voter to start an election, without waiting for its log.
+    pub(super) fn transfer_now(&mut self) {
         if let Some(target) = self.successor() {
-            self.send(&target, Message::TimeoutNow, Need::Hard);
+            self.send(&target, Message::TimeoutNow, Durability::Hard);
         }
     }
 
@@ -147,7 +149,7 @@
         state
             .peers
             .values()
-            .filter(|p| config.is_voter(&p.identity) && !p.lost)
+            .filter(|p| config.is_voter(&p.identity) && !p.disk_replaced)
             .max_by_key(|p| (p.matched, p.acked))
             .map(|p| p.identity.clone())
     }
--- a/decision/consensus/src/node/membership.rs
+++ b/decision/consensus/src/node/membership.rs
@@ -1,4 +1,4 @@
-//! Changes of members, one at a time.
+//! Membership changes, one at a time.
 
 use pimentotide_model::InstanceName;
 
@@ -10,7 +10,7 @@
     pub(super) fn change(&mut self, id: ProposalId, change: &Change) {
         match self.next_config(change) {
             Ok(config) => {
-                let index = self.declare(config);
+                let index = self.append_config(config);
                 let term = self.hard.term;
                 self.actions.push(Action::Accepted(id, index, term));
                 self.replicate();
@@ -20,10 +20,10 @@
     }
 
     fn next_config(&self, change: &Change) -> Result<Config, Reject> {
-        if let Some(reason) = self.refuses_proposals() {
+        if let Some(reason) = self.proposal_rejection() {
             return Err(reason);
         }
-        if !self.may_change() {
+        if !self.accepts_changes() {
             return Err(Reject::ChangePending);
         }
         let config = self.log.config();
@@ -37,7 +37,7 @@
             }
             Change::Remove(name) => {
                 let next = config.without(name);
-                if self.hears_quorum_of(&next) {
+                if self.reaches_quorum_of(&next) {
                     Ok(next)
                 } else {
                     Err(Reject::WouldLoseQuorum(name.clone()))
@@ -46,23 +46,23 @@
         }
     }
 
-    /// Whether the last change is committed, and an entry of this term.
-    fn may_change(&self) -> bool {
-        self.is_established() && self.log.config_index() <= self.commit
+    /// Returns whether the last change and an entry of this term are committed.
+    fn accepts_changes(&self) -> bool {
+        self.has_committed_in_term() && self.log.config_index() <= self.commit
     }
 
-    /// Whether a quorum of `config` answered within the shortest election time.
-    fn hears_quorum_of(&self, config: &Config) -> bool {
-        let heard = config
+    /// Returns whether a quorum of `config` is reachable.
+    fn reaches_quorum_of(&self, config: &Config) -> bool {
+        let reachable = config
             .voters
             .keys()
-            .filter(|name| **name == self.hard.identity.name || self.hears(name))
+            .filter(|name| **name == self.hard.identity.name || self.is_reachable(name))
             .count();
-        !config.voters.is_empty() && heard >= config.quorum()
+        !config.voters.is_empty() && reachable >= config.quorum()
     }
 
-    /// Whether the peer answered within the shortest election time.
-    pub(super) fn hears(&self, name: &InstanceName) -> bool {
+    /// Returns whether the peer answered within the minimum election timeout.
+    pub(super) fn is_reachable(&self, name: &InstanceName) -> bool {
         let Role::Leader(state) = &self.role else {
             return false;
         };
@@ -70,9 +70,9 @@
         acked.is_some_and(|at| self.at.now < at + self.options.election_timeout)
     }
 
-    /// Appends new members, which are in force at once, and follows them.
-    fn declare(&mut self, config: Config) -> Index {
-        let index = self.append_own(Payload::Config(config));
+    /// Appends a new membership, which takes effect at once, and updates the peers.
+    fn append_config(&mut self, config: Config) -> Index {
+        let index = self.append_entry(Payload::Config(config));
         let others = self.log.config().others(&self.hard.identity);
         let next = self.log.last().index.next();
         if let Role::Leader(state) = &mut self.role {
@@ -87,13 +87,13 @@
         index
     }
 
-    /// Makes a voter of a learner that has caught up.
+    /// Promotes a learner that has caught up to voter.
     pub(super) fn promote(&mut self) {
         let Some(who) = self.ready_learner() else {
             return;
         };
         let config = self.log.config().promoted(&who.name);
-        self.declare(config);
+        self.append_config(config);
         self.replicate();
     }
 
@@ -101,7 +101,7 @@
         let Role::Leader(state) = &self.role else {
             return None;
         };
-        if !self.may_change() || state.transfer.is_some() {
+        if !self.accepts_changes() || state.transfer.is_some() {
             return None;
         }
         let last = self.log.last().index.0;
@@ -109,8 +109,8 @@
         state
             .peers
             .values()
-            .filter(|p| learners.contains_key(&p.identity.name) && !p.lost)
-            .filter(|p| self.hears(&p.identity.name))
+            .filter(|p| learners.contains_key(&p.identity.name) && !p.disk_replaced)
+            .filter(|p| self.is_reachable(&p.identity.name))
             .find(|p| {
                 p.matched >= state.first && p.matched.0 + self.options.max_learner_lag >= last
             })
--- a/decision/consensus/src/node/mod.rs
+++ b/decision/consensus/src/node/mod.rs
@@ -1,4 +1,7 @@
 //! The node: its state, the dispatch of events and the order of its writes.
+//!
+//! The write of a step comes before the other actions of that step, and every
+//! message waits for the last write on which it depends.
 
 mod catchup;
 mod election;
@@ -38,14 +41,14 @@
     Failed,
 }
 
-/// A snapshot that arrives in parts.
+/// A snapshot that is received in chunks.
 #[derive(Clone, Debug)]
-struct Assembly {
+struct IncomingSnapshot {
     meta: SnapshotMeta,
     data: Vec<u8>,
 }
 
-/// One replica of the log.
+/// State machine of one replica of the log.
 #[derive(Clone, Debug)]
 pub struct Node {
     options: Options,
@@ -58,23 +61,30 @@
     applied: Index,
     role: Role,
     leader: Option<Identity>,
-    /// When a leader of the current term was heard last, or the start of this process.
-    heard: Time,
+    /// Time of the last contact with a leader of the current term, or of the start.
+    leader_contact: Time,
+    /// Time at which an election starts without contact to a leader.
     deadline: Time,
-    draft: Write,
-    issued: Ticket,
+    /// Write of the current step.
+    pending_write: Write,
+    last_ticket: Ticket,
+    /// Last write with a hard state.
     hard_ticket: Ticket,
+    /// Last write with entries or a snapshot.
     log_ticket: Ticket,
     synced: Ticket,
+    /// Last index synced on the own disk.
     durable: Index,
+    /// Log writes that are not synced yet, with their last index.
     unsynced: VecDeque<(Ticket, Index)>,
-    assembly: Option<Assembly>,
+    /// Snapshot that is being received.
+    incoming: Option<IncomingSnapshot>,
     actions: Vec<Action>,
 }
 
-/// What a message has to wait for.
+/// State that has to be synced before a message is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Need {
+enum Durability {
     /// Term and vote.
     Hard,
     /// Term, vote, entries and snapshot.
@@ -82,7 +92,7 @@
 }
 
 impl Node {
-    /// Starts a node from what its disk held; the actions restore the machine.
+    /// Starts a node from its recovered state; the returned actions restore the machine.
     pub fn start(
         recovered: Recovered,
         options: Options,
@@ -110,16 +120,16 @@
             applied: base,
             role: Role::Follower,
             leader: None,
-            // A restarted replica may have promised a leader its support just before.
-            heard: at.now,
+            // The replica may have extended a leader's lease just before its restart.
+            leader_contact: at.now,
             deadline: at.now,
-            draft: Write::default(),
-            issued: Ticket(0),
+            pending_write: Write::default(),
+            last_ticket: Ticket(0),
             hard_ticket: Ticket(0),
             log_ticket: Ticket(0),
             synced: Ticket(0),
             unsynced: VecDeque::new(),
-            assembly: None,
+            incoming: None,
             actions: Vec::new(),
             snapshot,
         };
@@ -131,7 +141,9 @@
         (node, actions)
     }
 
-    /// First write of a new log with these members; none if the folder was used before.
+    /// Returns the first write of a new log with these members.
+    ///
+    /// Returns `None` if the folder was used before.
     pub fn bootstrap(recovered: &Recovered, cluster: ClusterId, config: Config) -> Option<Write> {
         let unused = recovered.hard.cluster.is_none()
             && recovered.snapshot.is_none()
@@ -160,11 +172,11 @@
         })
     }
 
-    /// Handles one event and returns what it leads to.
+    /// Handles an event and returns the resulting actions.
     pub fn step(&mut self, event: Event, at: Moment) -> Vec<Action> {
         self.at = at;
         match event {
-            _ if matches!(self.role, Role::Failed) => self.refuse_after_failure(&event),
+            _ if matches!(self.role, Role::Failed) => self.reject_after_failure(&event),
             Event::Tick => self.tick(),
             Event::Receive(envelope) => self.receive(envelope),
             Event::Synced(ticket) => self.on_synced(ticket),
@@ -203,7 +215,7 @@
             self.on_refused(&intended);
             return;
         }
-        if !self.joins(cluster, &body) {
+        if !self.accepts_cluster(cluster, &body) {
             return;
         }
         match body {
@@ -214,10 +226,10 @@
         }
     }
 
-    /// Handles messages for which a higher term ends what this node was doing.
+    /// Handles messages that make this node a follower if they have a higher term.
     fn receive_in_term(&mut self, from: Identity, term: Term, body: Message) {
         if term > self.hard.term {
-            self.follow(term, None);
+            self.become_follower(term, None);
         }
         if term < self.hard.term {
             self.answer_stale(&from, &body);
@@ -256,7 +268,7 @@
         }
     }
 
-    /// Refuses a message intended for a disk that this replica no longer has.
+    /// Refuses a message addressed to another disk of this replica.
     fn refuse(&mut self, cluster: ClusterId, from: Identity, intended: Identity) {
         if intended.name != self.hard.identity.name {
             return;
@@ -273,13 +285,15 @@
             body: Message::Refused { intended },
         };
         self.actions.push(Action::Send {
-            after: self.ticket(Need::Hard),
+            after: self.ticket(Durability::Hard),
             envelope,
         });
     }
 
-    /// Whether the message belongs to this node's log; a new replica joins its first leader's.
-    fn joins(&mut self, cluster: ClusterId, body: &Message) -> bool {
+    /// Returns whether the message belongs to this node's log.
+    ///
+    /// A new replica joins the log of the first leader that contacts it.
+    fn accepts_cluster(&mut self, cluster: ClusterId, body: &Message) -> bool {
         match self.hard.cluster {
             Some(mine) => mine == cluster,
             None => {
@@ -311,15 +325,15 @@
 
     fn fail(&mut self) {
         if matches!(self.role, Role::Leader(_)) {
-            self.hand_over_at_once();
+            self.transfer_now();
             self.end_leadership(&Reject::DiskFailed);
         }
         self.role = Role::Failed;
         self.leader = None;
-        self.draft = Write::default();
+        self.pending_write = Write::default();
     }
 
-    fn refuse_after_failure(&mut self, event: &Event) {
+    fn reject_after_failure(&mut self, event: &Event) {
         match event {
             Event::Propose(id, _) | Event::Read(id) | Event::Change(id, _) => {
                 self.reject(*id, Reject::DiskFailed);
@@ -332,12 +346,12 @@
         self.actions.push(Action::Rejected(id, reason));
     }
 
-    /// Sends `body` in the current term once what it needs is synced.
-    fn send(&mut self, to: &Identity, body: Message, need: Need) {
-        self.send_in(self.hard.term, to, body, need);
+    /// Sends `body` in the current term once the state it depends on is synced.
+    fn send(&mut self, to: &Identity, body: Message, durability: Durability) {
+        self.send_in(self.hard.term, to, body, durability);
     }
 
-    fn send_in(&mut self, term: Term, to: &Identity, body: Message, need: Need) {
+    fn send_in(&mut self, term: Term, to: &Identity, body: Message, durability: Durability) {
         let Some(cluster) = self.hard.cluster else {
             return;
         };
@@ -348,34 +362,34 @@
             term,
             body,
         };
-        let after = self.ticket(need);
+        let after = self.ticket(durability);
         self.actions.push(Action::Send { after, envelope });
     }
 
-    /// Ticket that has to be synced before what is known now may be told to others.
-    fn ticket(&self, need: Need) -> Ticket {
-        let drafted = match need {
-            Need::Hard => self.draft.hard.is_some(),
-            Need::Log => self.has_draft(),
+    /// Ticket that has to be synced before a message that depends on this state is sent.
+    fn ticket(&self, durability: Durability) -> Ticket {
+        let unwritten = match durability {
+            Durability::Hard => self.pending_write.hard.is_some(),
+            Durability::Log => self.has_pending_write(),
         };
-        match need {
-            _ if drafted => self.issued.next(),
-            Need::Hard => self.hard_ticket,
-            Need::Log => self.log_ticket.max(self.hard_ticket),
+        match durability {
+            _ if unwritten => self.last_ticket.next(),
+            Durability::Hard => self.hard_ticket,
+            Durability::Log => self.log_ticket.max(self.hard_ticket),
         }
     }
 
     fn save_hard(&mut self) {
-        self.draft.hard = Some(self.hard.clone());
+        self.pending_write.hard = Some(self.hard.clone());
     }
 
-    /// Appends an entry to the log and to the write of this step.
+    /// Appends an entry to the log and to the pending write.
     fn save_entry(&mut self, entry: Entry) {
-        self.draft.entries.push(entry.clone());
+        self.pending_write.entries.push(entry.clone());
         self.log.push(entry);
     }
 
-    /// Drops entries from `index` on, which a later entry of this step replaces.
+    /// Removes entries from `index` on; an entry appended in the same step replaces them.
     fn truncate(&mut self, index: Index) {
         assert!(index > self.commit, "committed entry {index} replaced");
         self.log.truncate(index);
@@ -385,30 +399,32 @@
         }
     }
 
-    fn has_draft(&self) -> bool {
-        self.draft.hard.is_some() || self.draft.snapshot.is_some() || !self.draft.entries.is_empty()
+    fn has_pending_write(&self) -> bool {
+        self.pending_write.hard.is_some()
+            || self.pending_write.snapshot.is_some()
+            || !self.pending_write.entries.is_empty()
     }
 
-    /// Puts the write of this step before the other actions.
+    /// Inserts the pending write before the other actions.
     fn flush(&mut self) {
-        if !self.has_draft() {
+        if !self.has_pending_write() {
             return;
         }
-        self.issued = self.issued.next();
-        let mut write = std::mem::take(&mut self.draft);
-        write.ticket = self.issued;
+        self.last_ticket = self.last_ticket.next();
+        let mut write = std::mem::take(&mut self.pending_write);
+        write.ticket = self.last_ticket;
         if write.hard.is_some() {
-            self.hard_ticket = self.issued;
+            self.hard_ticket = self.last_ticket;
         }
         if write.snapshot.is_some() || !write.entries.is_empty() {
-            self.log_ticket = self.issued;
+            self.log_ticket = self.last_ticket;
             self.unsynced
-                .push_back((self.issued, self.log.last().index));
+                .push_back((self.last_ticket, self.log.last().index));
         }
         self.actions.insert(0, Action::Write(write));
     }
 
-    /// Moves the committed position and hands out the entries up to it.
+    /// Advances the commit index and applies the entries up to it.
     fn commit_to(&mut self, index: Index) {
         if index <= self.commit {
             return;
@@ -425,9 +441,9 @@
     }
 
     fn reset_deadline(&mut self) {
-        let least = self.options.election_timeout;
-        let spread = u64::try_from(least.as_micros()).unwrap_or(u64::MAX);
+        let min = self.options.election_timeout;
+        let spread = u64::try_from(min.as_micros()).unwrap_or(u64::MAX);
         let extra = self.rng.random_range(0..=spread);
-        self.deadline = self.at.now + least + std::time::Duration::from_micros(extra);
+        self.deadline = self.at.now + min + std::time::Duration::from_micros(extra);
     }
 }
--- a/decision/consensus/src/node/replication.rs
+++ b/decision/consensus/src/node/replication.rs
@@ -1,13 +1,13 @@
-//! How a leader brings the log to the other members.
+//! Replication of the log from the leader to the other members.
 
 use pimentotide_model::Time;
 
-use super::{Need, Node, Role};
+use super::{Durability, Node, Role};
 use crate::progress::{Flow, Progress};
 use crate::{Identity, Index, LogId, Message};
 
 impl Node {
-    /// Progress of the peer, if it is known under this identity.
+    /// Returns the progress of the peer, if it is tracked under this identity.
     pub(super) fn peer(&mut self, who: &Identity) -> Option<&mut Progress> {
         let Role::Leader(state) = &mut self.role else {
             return None;
@@ -26,16 +26,16 @@
     }
 
     /// Sends heartbeats if they are due.
-    pub(super) fn beat(&mut self) {
+    pub(super) fn heartbeat_if_due(&mut self) {
         let now = self.at.now;
-        let pause = self.options.heartbeat_interval;
+        let interval = self.options.heartbeat_interval;
         let Role::Leader(state) = &mut self.role else {
             return;
         };
-        if now < state.beat {
+        if now < state.next_heartbeat {
             return;
         }
-        state.beat = now + pause;
+        state.next_heartbeat = now + interval;
         self.send_heartbeats();
         self.replicate();
     }
@@ -48,22 +48,22 @@
                 continue;
             };
             let commit = commit.min(peer.matched);
-            self.send(&who, Message::Heartbeat { commit, sent }, Need::Hard);
+            self.send(&who, Message::Heartbeat { commit, sent }, Durability::Hard);
         }
     }
 
-    /// Sends to every peer what it lacks and may receive now.
+    /// Sends missing entries to every peer, within the limits of its flow.
     pub(super) fn replicate(&mut self) {
         for who in self.peer_identities() {
-            self.feed(&who);
+            self.send_available(&who);
         }
     }
 
-    /// Repeats messages that were not answered in time.
+    /// Sends messages again that were not answered within the resend timeout.
     pub(super) fn resend(&mut self) {
         let now = self.at.now;
-        let pause = self.options.resend_timeout;
-        let late = |sent: Time| now >= sent + pause;
+        let timeout = self.options.resend_timeout;
+        let late = |sent: Time| now >= sent + timeout;
         let Role::Leader(state) = &mut self.role else {
             return;
         };
@@ -82,13 +82,13 @@
         self.replicate();
     }
 
-    /// Sends to one peer what it lacks and may receive now.
-    pub(super) fn feed(&mut self, who: &Identity) {
-        while self.feed_once(who) {}
+    /// Sends missing entries to one peer, within the limits of its flow.
+    pub(super) fn send_available(&mut self, who: &Identity) {
+        while self.send_next(who) {}
     }
 
-    /// Sends one message; returns whether another one may follow.
-    fn feed_once(&mut self, who: &Identity) -> bool {
+    /// Sends at most one message; returns whether another one may follow.
+    fn send_next(&mut self, who: &Identity) -> bool {
         let now = self.at.now;
         let window = self.options.max_inflight;
         let last = self.log.last().index;
@@ -96,7 +96,7 @@
         let Some(peer) = self.peer(who) else {
             return false;
         };
-        if peer.lost {
+        if peer.disk_replaced {
             return false;
         }
         let next = peer.next;
@@ -104,7 +104,7 @@
         match &mut peer.flow {
             Flow::Probe { sent: Some(_) } => false,
             Flow::Install { .. } => self.send_chunk(who),
-            Flow::Probe { .. } | Flow::Stream { .. } if compacted => self.start_install(who),
+            Flow::Probe { .. } | Flow::Stream { .. } if compacted => self.start_snapshot(who),
             Flow::Probe { sent } => {
                 *sent = Some(now);
                 self.send_entries(who, next);
@@ -115,13 +115,13 @@
                     return false;
                 }
                 let end = self.send_entries(who, next);
-                self.sent_up_to(who, end);
+                self.record_sent(who, end);
                 true
             }
         }
     }
 
-    fn sent_up_to(&mut self, who: &Identity, end: Index) {
+    fn record_sent(&mut self, who: &Identity, end: Index) {
         let now = self.at.now;
         if let Some(peer) = self.peer(who)
             && let Flow::Stream { inflight } = &mut peer.flow
@@ -131,7 +131,7 @@
         }
     }
 
-    /// Sends entries from `next` on and returns the position of the last.
+    /// Sends entries from `next` on and returns the index of the last one sent.
     fn send_entries(&mut self, who: &Identity, next: Index) -> Index {
         let index = next.prev();
         let term = self.log.term_at(index).unwrap_or_default();
@@ -143,13 +143,13 @@
             commit: self.commit,
             sent: self.at.now,
         };
-        self.send(who, body, Need::Hard);
+        self.send(who, body, Durability::Hard);
         end
     }
 
     pub(super) fn on_heartbeat_reply(&mut self, from: &Identity, sent: Time) {
         if let Some(peer) = self.peer(from) {
-            peer.heard(sent);
+            peer.record_answer(sent);
             self.serve_reads();
         }
     }
@@ -159,20 +159,20 @@
         let Some(peer) = self.peer(from) else {
             return;
         };
-        peer.heard(sent);
-        peer.matched(matched.min(last));
+        peer.record_answer(sent);
+        peer.record_match(matched.min(last));
         self.advance_commit();
         self.serve_reads();
         self.promote();
         self.continue_transfer();
-        self.feed(from);
+        self.send_available(from);
     }
 
     pub(super) fn on_mismatch(&mut self, from: &Identity, prev: Index, hint: Index, sent: Time) {
         let Some(peer) = self.peer(from) else {
             return;
         };
-        peer.heard(sent);
+        peer.record_answer(sent);
         let stale = match &peer.flow {
             Flow::Probe { .. } => prev != peer.next.prev(),
             Flow::Stream { .. } => prev <= peer.matched,
@@ -182,12 +182,12 @@
             peer.probe(hint.next().min(prev));
         }
         self.serve_reads();
-        self.feed(from);
+        self.send_available(from);
     }
 
     pub(super) fn on_refused(&mut self, intended: &Identity) {
         if let Some(peer) = self.peer(intended) {
-            peer.lost = true;
+            peer.disk_replaced = true;
             peer.probe(peer.matched.next());
         }
     }
--- a/decision/consensus/src/node/report.rs
+++ b/decision/consensus/src/node/report.rs
@@ -1,4 +1,4 @@
-//! What a node reports about itself.
+//! Status and read access to the state of a node.
 
 use pimentotide_model::{Term, Time};
 
@@ -8,7 +8,7 @@
 };
 
 impl Node {
-    /// Reports the node as of `at`.
+    /// Returns the status of the node as of `at`.
     pub fn status(&self, at: Moment) -> Status {
         Status {
             identity: self.hard.identity.clone(),
@@ -58,68 +58,68 @@
                 reachable: p
                     .acked
                     .is_some_and(|at| now < at + self.options.election_timeout),
-                disk_replaced: p.lost,
+                disk_replaced: p.disk_replaced,
             })
             .collect()
     }
 
-    /// Whether this node leads the current term.
+    /// Returns whether this node leads the current term, with or without a lease.
     pub fn is_leader(&self) -> bool {
         matches!(self.role, Role::Leader(_))
     }
 
-    /// Whether this node leads under a valid lease at `now`.
+    /// Returns whether this node holds a valid leader lease at `now`.
     pub fn leads_at(&self, now: Time) -> bool {
         self.holds_lease_at(now)
     }
 
-    /// Leader of the current term, if known.
+    /// Returns the leader of the current term, if known.
     pub fn leader(&self) -> Option<&Identity> {
         self.leader.as_ref()
     }
 
-    /// Identity, term and vote.
+    /// Returns the identity, term and vote.
     pub fn hard(&self) -> &HardState {
         &self.hard
     }
 
-    /// Current term.
+    /// Returns the current term, which may not be synced yet.
     pub fn term(&self) -> Term {
         self.hard.term
     }
 
-    /// Last committed position known.
+    /// Returns the commit index known to this node.
     pub fn commit(&self) -> Index {
         self.commit
     }
 
-    /// Last entry.
+    /// Returns the id of the last entry, synced or not.
     pub fn last(&self) -> LogId {
         self.log.last()
     }
 
-    /// Term of the entry at `index`, if it is held.
+    /// Returns the term of the entry at `index`, if it is held.
     pub fn term_at(&self, index: Index) -> Option<Term> {
         self.log.term_at(index)
     }
 
-    /// Entries that a snapshot now would let the disk drop.
+    /// Returns the number of applied entries that no snapshot covers yet.
     pub fn compactable(&self) -> u64 {
         let newest = self.snapshot.as_ref().map_or(0, |s| s.meta.last.index.0);
         self.applied.0 - newest
     }
 
-    /// Members in force.
+    /// Returns the latest membership, committed or not.
     pub fn config(&self) -> &Config {
         self.log.config()
     }
 
-    /// Last write that is synced.
+    /// Returns the ticket of the last synced write.
     pub fn synced(&self) -> Ticket {
         self.synced
     }
 
-    /// Whether the disk failed.
+    /// Returns whether this node is disabled after a disk failure.
     pub fn is_failed(&self) -> bool {
         matches!(self.role, Role::Failed)
     }
--- a/decision/consensus/src/options.rs
+++ b/decision/consensus/src/options.rs
@@ -1,29 +1,29 @@
-//! Times and bounds of a node.
+//! Timeouts and limits of a node.
 
 use std::time::Duration;
 
-/// Times and bounds of a node.
+/// Timeouts and limits of a node.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Options {
-    /// Shortest silence after which a replica stands for election; the longest is twice that.
+    /// Minimum time without contact to a leader before an election; the random maximum is twice that.
     pub election_timeout: Duration,
-    /// Pause between heartbeats.
+    /// Interval between heartbeats of a leader.
     pub heartbeat_interval: Duration,
-    /// How much faster one clock may run than another, as a fraction.
+    /// Maximum rate error of a clock, as a fraction.
     pub max_clock_drift: f64,
-    /// Wait before a message without an answer is repeated.
+    /// Time after which an unanswered message is sent again.
     pub resend_timeout: Duration,
-    /// Most bytes of entries in one message.
+    /// Maximum bytes of entries in one message; a single larger entry is still sent.
     pub max_batch_bytes: usize,
-    /// Most messages with entries under way to one replica.
+    /// Maximum append messages in flight to one replica.
     pub max_inflight: usize,
-    /// Most bytes of a snapshot in one message.
+    /// Maximum bytes of a snapshot in one message.
     pub max_chunk_bytes: usize,
-    /// Entries that a learner may lack and still become a voter.
+    /// Maximum entries that a learner may lag behind to be promoted to voter.
     pub max_learner_lag: u64,
-    /// Most entries that wait for a quorum.
+    /// Maximum entries that are not committed yet; further proposals are rejected.
     pub max_uncommitted: u64,
-    /// Entries kept in memory behind a snapshot for replicas that are a little late.
+    /// Entries retained in memory before a snapshot, so that slow replicas need no snapshot.
     pub retained_entries: u64,
 }
 
@@ -45,10 +45,11 @@
 }
 
 impl Options {
-    /// How long a quorum's acknowledgement keeps a leader's lease, on the leader's clock.
+    /// Duration of the lease after a quorum's acknowledgement, on the leader's clock.
     ///
-    /// Followers refuse other candidates for the shortest election time on their
-    /// own clocks. A clock that runs slow by the drift must still end the lease first.
+    /// Followers reject other candidates for the minimum election timeout on their
+    /// own clocks. A leader's clock that runs slow by the drift still ends the lease
+    /// before a follower's clock that runs fast.
     pub fn lease(&self) -> Duration {
         let fastest = 1.0 + self.max_clock_drift;
         let slowest = 1.0 - self.max_clock_drift;
--- a/decision/consensus/src/progress.rs
+++ b/decision/consensus/src/progress.rs
@@ -1,4 +1,4 @@
-//! What a leader knows of another replica's log.
+//! Replication progress of a peer, as tracked by the leader.
 
 use std::collections::VecDeque;
 
@@ -6,49 +6,49 @@
 
 use crate::{Identity, Index, Snapshot};
 
-/// How entries reach the replica.
+/// Replication mode of a peer.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum Flow {
-    /// One message at a time until the logs agree.
+    /// One message at a time until the logs match.
     Probe {
-        /// When the message under way left.
+        /// Send time of the message in flight.
         sent: Option<Time>,
     },
-    /// Several messages under way.
+    /// Pipelined messages.
     Stream {
-        /// Last position and time of each message under way.
+        /// Last index and send time of each message in flight.
         inflight: VecDeque<(Index, Time)>,
     },
-    /// A snapshot in parts, one part at a time.
+    /// A snapshot, one chunk at a time.
     Install {
-        /// Snapshot under way.
+        /// Snapshot being sent.
         snapshot: Snapshot,
-        /// Position of the part under way, bytes.
+        /// Offset of the current chunk in bytes.
         offset: u64,
-        /// When it left.
+        /// Send time of the chunk in flight.
         sent: Option<Time>,
     },
 }
 
-/// What a leader knows of another replica.
+/// Replication progress of a peer.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Progress {
-    /// Who it is.
+    /// Name and disk under which acknowledgements count.
     pub(crate) identity: Identity,
-    /// Last position known to agree and to be synced.
+    /// Last index known to match and to be synced.
     pub(crate) matched: Index,
-    /// Position to send next.
+    /// Index to send next.
     pub(crate) next: Index,
-    /// How entries reach it.
+    /// Replication mode.
     pub(crate) flow: Flow,
-    /// When the newest message that it answered had left.
+    /// Send time of the newest answered message.
     pub(crate) acked: Option<Time>,
-    /// Whether it answered that its disk is another one.
-    pub(crate) lost: bool,
+    /// Whether it refused a message because its disk was replaced.
+    pub(crate) disk_replaced: bool,
 }
 
 impl Progress {
-    /// Starts with the logs assumed equal.
+    /// Starts to probe the peer from `next` on.
     pub(crate) fn new(identity: Identity, next: Index) -> Self {
         Self {
             identity,
@@ -56,18 +56,18 @@
             next,
             flow: Flow::Probe { sent: None },
             acked: None,
-            lost: false,
+            disk_replaced: false,
         }
     }
 
-    /// Notes an answer to a message that left at `sent`.
-    pub(crate) fn heard(&mut self, sent: Time) {
+    /// Records an answer to a message sent at `sent`.
+    pub(crate) fn record_answer(&mut self, sent: Time) {
         self.acked = self.acked.max(Some(sent));
-        self.lost = false;
+        self.disk_replaced = false;
     }
 
-    /// Notes that the logs agree up to `matched`.
-    pub(crate) fn matched(&mut self, matched: Index) {
+    /// Records that the logs match up to `matched`.
+    pub(crate) fn record_match(&mut self, matched: Index) {
         self.matched = self.matched.max(matched);
         self.next = self.next.max(self.matched.next());
         match &mut self.flow {
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Goes back to one message at a time, from `next` on.
+    /// Returns to probing, from `next` on.
     pub(crate) fn probe(&mut self, next: Index) {
         self.next = next.max(self.matched.next());
         self.flow = Flow::Probe { sent: None };
--- a/decision/consensus/src/status.rs
+++ b/decision/consensus/src/status.rs
@@ -1,4 +1,4 @@
-//! What a node reports about itself.
+//! Status of a node.
 
 use derive_more::Display;
 use pimentotide_model::{InstanceName, Term};
@@ -6,75 +6,75 @@
 
 use crate::{ClusterId, Config, Identity, Index, LogId};
 
-/// Role of a replica.
+/// Role of a replica in the log.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RoleKind {
-    /// Member of no log yet, or no longer.
+    /// Not a member of the log.
     #[display("outsider")]
     Outsider,
-    /// Receives the log and does not vote.
+    /// Receives the log but does not vote.
     #[display("learner")]
     Learner,
-    /// Follows a leader.
+    /// Voter that follows a leader.
     #[display("follower")]
     Follower,
-    /// Stands for election.
+    /// Requests votes or pre-votes.
     #[display("candidate")]
     Candidate,
-    /// Leads.
+    /// Leads the current term.
     #[display("leader")]
     Leader,
-    /// Out of action after a failure of its disk.
+    /// Disabled after a disk failure.
     #[display("failed")]
     Failed,
 }
 
-/// What a leader knows of one member.
+/// Progress of one member, as tracked by the leader.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PeerStatus {
     /// Name of the member.
     pub name: InstanceName,
-    /// Last position that it has synced.
+    /// Last index that matches and is synced.
     pub matched: Index,
-    /// Entries that it lacks.
+    /// Entries by which it lags behind the leader.
     pub lag: u64,
-    /// Whether it answered within the shortest election time.
+    /// Whether it answered within the minimum election timeout.
     #[serde(rename = "heard")]
     pub reachable: bool,
-    /// Whether it answers under the identity of another disk.
+    /// Whether it refused a message because its disk was replaced.
     #[serde(rename = "lost")]
     pub disk_replaced: bool,
 }
 
-/// What a node reports about itself.
+/// Status of a node at one time.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Status {
     /// Identity of the replica.
     pub identity: Identity,
-    /// Log that it belongs to.
+    /// Log that it belongs to; `None` before the first contact with a leader.
     pub cluster: Option<ClusterId>,
-    /// Role.
+    /// Role in the current term.
     pub role: RoleKind,
     /// Current term.
     pub term: Term,
     /// Leader of the term, if known.
     pub leader: Option<Identity>,
-    /// Whether it leads and holds a valid lease.
+    /// Whether it is the leader and holds a valid lease.
     pub lease: bool,
-    /// Last entry.
+    /// Id of the last entry, synced or not.
     pub last: LogId,
-    /// Last position synced on its own disk.
+    /// Last index synced on its own disk.
     pub durable: Index,
-    /// Last committed position known.
+    /// Commit index known to the node.
     pub commit: Index,
-    /// Position of the newest snapshot.
+    /// Index of the newest snapshot; 0 without a snapshot.
     pub compacted: Index,
-    /// Members in force.
+    /// Latest membership, committed or not.
     pub config: Config,
-    /// Whether the members in force are committed.
+    /// Whether the latest membership is committed.
     #[serde(rename = "settled")]
     pub config_committed: bool,
-    /// What it knows of the other members, if it leads.
+    /// Progress of the other members; empty unless it is the leader.
     pub peers: Vec<PeerStatus>,
 }
--- a/decision/consensus/src/types.rs
+++ b/decision/consensus/src/types.rs
@@ -1,4 +1,4 @@
-//! Positions, entries and what a replica keeps on its disk.
+//! Log indexes, entries and the persistent state of a replica.
 
 use std::fmt;
 use std::sync::Arc;
@@ -26,7 +26,7 @@
                 Self(self.0 + 1)
             }
 
-            /// Returns the number before this one, zero at zero.
+            /// Returns the number before this one, or 0 for 0.
             #[must_use]
             pub const fn prev(self) -> Self {
                 Self(self.0.saturating_sub(1))
@@ -36,11 +36,11 @@
 }
 
 numbers! {
-    /// Position in the log; the first entry has 1.
+    /// Index of a log entry; the first entry has 1.
     Index;
-    /// Number of a write to the disk; writes are synced in this order.
+    /// Sequence number of a write to the disk; writes are synced in this order.
     Ticket;
-    /// Number by which the shell knows a proposal, a change or a read.
+    /// Caller-assigned id of a proposal, a change or a read.
     ProposalId;
 }
 
@@ -68,13 +68,13 @@
 }
 
 identities! {
-    /// Random identity of a data folder, made when it is first opened.
+    /// Random identity of a data folder, generated when it is first opened.
     DiskId;
-    /// Random identity of a replicated log, made when it is founded.
+    /// Random identity of a replicated log, generated at bootstrap.
     ClusterId;
 }
 
-/// A replica as it counts for votes and acknowledgements.
+/// Identity of a replica for votes and acknowledgements.
 #[derive(Clone, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[display("{name}/{disk}")]
 pub struct Identity {
@@ -84,7 +84,7 @@
     pub disk: DiskId,
 }
 
-/// Position and term of one entry.
+/// Term and index of a log entry.
 #[derive(
     Clone,
     Copy,
@@ -101,36 +101,36 @@
 )]
 #[display("{index}@{term}")]
 pub struct LogId {
-    /// Term in which a leader made the entry; compared first.
+    /// Term in which the entry was appended by its leader; compared first.
     pub term: Term,
-    /// Position.
+    /// Index in the log.
     pub index: Index,
 }
 
-/// Content of an entry.
+/// Payload of a log entry.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Payload {
-    /// First entry of a leader.
+    /// First entry of a term.
     Noop,
-    /// Command to the replicated machine.
+    /// Command for the state machine.
     Command(Arc<[u8]>),
-    /// Members from this entry on.
+    /// Membership from this entry on.
     Config(Config),
 }
 
-/// One entry of the log.
+/// A log entry.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Entry {
-    /// Position and term.
+    /// Term and index.
     pub id: LogId,
-    /// Time given by the leader; never lower than in the entry before.
+    /// Time assigned by the leader; never lower than that of the previous entry.
     pub time: Time,
-    /// Content.
+    /// Payload.
     pub payload: Payload,
 }
 
 impl Entry {
-    /// Approximate size in memory and on the wire, bytes.
+    /// Returns the approximate size in memory and on the wire in bytes.
     pub fn size(&self) -> usize {
         const HEAD_BYTES: usize = 32;
         const MEMBER_BYTES: usize = 64;
@@ -143,21 +143,21 @@
     }
 }
 
-/// What a replica must remember besides the log.
+/// Persistent state of a replica besides the log.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct HardState {
     /// Identity of this replica.
     pub identity: Identity,
-    /// Log that this replica belongs to; none before it first heard of one.
+    /// Log that this replica belongs to; `None` before the first contact with a leader.
     pub cluster: Option<ClusterId>,
     /// Current term.
     pub term: Term,
-    /// Candidate that has this replica's vote in the term.
+    /// Candidate that received this replica's vote in the current term.
     pub vote: Option<Identity>,
 }
 
 impl HardState {
-    /// State of a folder that was never used.
+    /// Returns the state of an unused folder.
     pub const fn fresh(identity: Identity) -> Self {
         Self {
             identity,
@@ -168,21 +168,21 @@
     }
 }
 
-/// State of the machine at one position.
+/// State of the machine after one log entry.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// Position, members and size.
+    /// Metadata, including the index that it covers.
     pub meta: SnapshotMeta,
-    /// State of the machine.
+    /// Encoded state of the machine.
     pub data: Arc<[u8]>,
 }
 
-/// What a data folder held when it was opened.
+/// State recovered from a data folder.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Recovered {
     /// Identity, term and vote.
     pub hard: HardState,
-    /// Newest snapshot.
+    /// Newest snapshot, if any.
     pub snapshot: Option<Snapshot>,
     /// Entries after the snapshot, without gaps.
     pub entries: Vec<Entry>,
--- a/decision/consensus/tests/it/chaos.rs
+++ b/decision/consensus/tests/it/chaos.rs
@@ -1,10 +1,10 @@
-//! Runs with every fault, checked after every step.
+//! Randomized runs under all kinds of faults, checked after every step.
 
 use std::time::Duration;
 
 use crate::sim::{Counts, Faults, World};
 
-/// Runs one seed to its end.
+/// Runs a seed for 30 s of virtual time, then without faults until the replicas agree.
 fn run(seed: u64, hosts: usize, members: usize) -> World {
     let mut world = World::new(seed, hosts, members, Faults::all());
     world.run(Duration::from_secs(30));
@@ -18,11 +18,11 @@
     for seed in 0..16 {
         total.add(&run(seed, 5, 3).counts);
     }
-    assert!(total.is_complete(), "a fault never happened: {total:?}");
+    assert!(total.is_complete(), "an event never occurred: {total:?}");
 }
 
 #[test]
-fn three_replicas_bear_every_fault() {
+fn safety_holds_with_three_replicas_under_every_fault() {
     for seed in 100..112 {
         run(seed, 3, 3);
     }
--- a/decision/consensus/tests/it/explore.rs
+++ b/decision/consensus/tests/it/explore.rs
@@ -1,8 +1,8 @@
-//! All short interleavings of messages among three replicas.
+//! Exhaustive search over short message interleavings among three replicas.
 //!
-//! From each state the search takes every message under way, in any order, or
-//! loses it, lets any replica time out and stand or merely forget the last
-//! leader, or has a leader propose; equal states are visited once.
+//! From each state the search delivers or loses any message in flight, advances
+//! the clock of any non-leader past its timeout with or without an election, or
+//! has a leader propose. Equal states are visited once.
 
 use std::collections::BTreeSet;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -12,7 +12,7 @@
 
 use crate::trio::{REPLICAS, State, TIMEOUT, identity, start};
 
-/// Bounds of the search.
+/// Limits of the search.
 struct Bounds {
     depth: usize,
     timeouts: u8,
@@ -27,26 +27,26 @@
         for node in &self.nodes {
             format!("{node:?}").hash(&mut hasher);
         }
-        let messages: BTreeSet<String> = self.under_way.iter().map(|m| format!("{m:?}")).collect();
+        let messages: BTreeSet<String> = self.in_flight.iter().map(|m| format!("{m:?}")).collect();
         messages.hash(&mut hasher);
         (self.clocks, self.timeouts, self.proposals, self.losses).hash(&mut hasher);
         hasher.finish()
     }
 
-    /// All states that one more event leads to.
+    /// Returns all states reached by one more event.
     fn successors(&self, bounds: &Bounds) -> Vec<Self> {
         let mut next = Vec::new();
-        for at in 0..self.under_way.len() {
-            let mut taken = self.clone();
-            let envelope = taken.under_way.remove(at);
+        for at in 0..self.in_flight.len() {
+            let mut delivered = self.clone();
+            let envelope = delivered.in_flight.remove(at);
             if self.losses < bounds.losses {
-                let mut lost = taken.clone();
+                let mut lost = delivered.clone();
                 lost.losses += 1;
                 next.push(lost);
             }
             let to = (0..REPLICAS).find(|n| identity(*n) == envelope.to).unwrap();
-            taken.tell(to, Event::Receive(envelope));
-            next.push(taken);
+            delivered.deliver_event(to, Event::Receive(envelope));
+            next.push(delivered);
         }
         for number in 0..REPLICAS {
             if self.nodes[number].is_leader() {
@@ -54,46 +54,48 @@
                     let mut proposed = self.clone();
                     proposed.proposals += 1;
                     let command = Arc::from([number as u8, self.proposals]);
-                    proposed.tell(number, Event::Propose(ProposalId(1), command));
+                    proposed.deliver_event(number, Event::Propose(ProposalId(1), command));
                     next.push(proposed);
                 }
             } else if self.timeouts < bounds.timeouts {
-                let mut late = self.clone();
-                late.timeouts += 1;
-                late.clocks[number] += TIMEOUT;
-                next.push(late.clone());
-                late.tell(number, Event::Tick);
-                next.push(late);
+                let mut timed_out = self.clone();
+                timed_out.timeouts += 1;
+                timed_out.clocks[number] += TIMEOUT;
+                next.push(timed_out.clone());
+                timed_out.deliver_event(number, Event::Tick);
+                next.push(timed_out);
             }
         }
         next
     }
 }
 
-/// Visits states breadth first; returns how many, and at which depth the search ended.
+/// Visits states breadth first.
+///
+/// Returns the number of states, the depth reached and the highest number of committed entries.
 fn explore(bounds: &Bounds) -> (usize, usize, usize) {
-    let mut seen = BTreeSet::new();
+    let mut visited = BTreeSet::new();
     let mut layer = vec![start()];
-    let mut most = 0;
+    let mut max_committed = 0;
     for depth in 0..bounds.depth {
         let mut next = Vec::new();
         for state in &layer {
             for successor in state.successors(bounds) {
-                if seen.insert(successor.fingerprint()) {
-                    most = most.max(successor.committed.len());
+                if visited.insert(successor.fingerprint()) {
+                    max_committed = max_committed.max(successor.committed.len());
                     next.push(successor);
                 }
             }
-            if seen.len() >= bounds.states {
-                return (seen.len(), depth, most);
+            if visited.len() >= bounds.states {
+                return (visited.len(), depth, max_committed);
             }
         }
         layer = next;
         if layer.is_empty() {
-            return (seen.len(), depth, most);
+            return (visited.len(), depth, max_committed);
         }
     }
-    (seen.len(), bounds.depth, most)
+    (visited.len(), bounds.depth, max_committed)
 }
 
 #[test]
--- a/decision/consensus/tests/it/rules.rs
+++ b/decision/consensus/tests/it/rules.rs
@@ -1,12 +1,12 @@
-//! Rules of the log, each met by hand.
+//! Safety rules of the log, each tested with hand-delivered messages.
 
 use pimentotide_consensus::{ClusterId, Envelope, Event, Index, LogId, Message, ProposalId};
 use pimentotide_model::{Term, Time};
 
 use crate::trio::{ELECTION, State, TIMEOUT, identity, start};
 
-/// Makes replica 0 the leader, with everything delivered.
-fn led() -> State {
+/// Returns a state in which replica 0 is the leader and all messages are delivered.
+fn with_leader() -> State {
     let mut state = start();
     state.time_out(0);
     state.deliver(|_, _, _| true);
@@ -16,50 +16,50 @@
 
 fn propose(state: &mut State, number: usize) -> Index {
     let command = [7].into();
-    state.tell(number, Event::Propose(ProposalId(1), command));
+    state.deliver_event(number, Event::Propose(ProposalId(1), command));
     state.nodes[number].last().index
 }
 
 #[test]
-fn an_answer_to_a_message_of_an_old_term_keeps_no_lease() {
+fn answer_to_an_old_term_does_not_renew_a_lease() {
     let mut state = start();
-    state.tell(0, Event::Tick);
-    let promise = Envelope {
+    state.deliver_event(0, Event::Tick);
+    let newer = Envelope {
         cluster: ClusterId(1),
         from: identity(1),
         to: identity(0),
         term: Term(9),
         body: Message::TimeoutNow,
     };
-    state.tell(0, Event::Receive(promise.clone()));
+    state.deliver_event(0, Event::Receive(newer.clone()));
     let old = Envelope {
         term: Term(2),
         body: Message::Heartbeat {
             commit: Index(0),
             sent: Time::ZERO,
         },
-        ..promise
+        ..newer
     };
-    state.under_way.clear();
-    state.tell(0, Event::Receive(old));
-    let answers: Vec<_> = state.under_way.iter().map(|e| &e.body).collect();
+    state.in_flight.clear();
+    state.deliver_event(0, Event::Receive(old));
+    let answers: Vec<_> = state.in_flight.iter().map(|e| &e.body).collect();
     assert_eq!(answers, [&Message::Stale]);
 }
 
 #[test]
-fn an_entry_of_an_older_term_is_not_committed_by_counting() {
-    let mut state = led();
+fn entry_of_an_older_term_is_not_committed_by_counting_replicas() {
+    let mut state = with_leader();
     let index = propose(&mut state, 0);
-    state.under_way.clear();
+    state.in_flight.clear();
     state.clocks[2] += TIMEOUT;
-    // Replica 1 wins a term and keeps its first entry to itself.
+    // Replica 1 wins a term; its first entry reaches no other replica.
     state.time_out(1);
     state.deliver(|from, to, body| from != 0 && to != 0 && !matches!(body, Message::Append { .. }));
     assert!(state.nodes[1].is_leader());
-    state.under_way.clear();
-    // Replica 0 wins the next one; only its old entry reaches replica 2.
+    state.in_flight.clear();
+    // Replica 0 wins the next term; only its old entry reaches replica 2.
     let reaches = |from: usize, to: usize, _: &Message| from != 1 && to != 1;
-    // Its first timeout ends its old leadership.
+    // The first timeout ends its old leadership.
     state.time_out(0);
     while !state.nodes[0].is_leader() {
         state.time_out(0);
@@ -74,8 +74,8 @@
 }
 
 #[test]
-fn a_replica_that_hears_a_leader_votes_for_no_other() {
-    let mut state = led();
+fn replica_in_contact_with_a_leader_rejects_other_candidates() {
+    let mut state = with_leader();
     let term = state.nodes[1].term();
     let vote = Envelope {
         cluster: ClusterId(1),
@@ -91,10 +91,10 @@
         },
     };
     let granted = |state: &mut State| {
-        state.under_way.clear();
-        state.tell(1, Event::Receive(vote.clone()));
+        state.in_flight.clear();
+        state.deliver_event(1, Event::Receive(vote.clone()));
         state
-            .under_way
+            .in_flight
             .iter()
             .any(|e| e.body == Message::VoteReply { granted: true })
     };
@@ -105,13 +105,13 @@
 }
 
 #[test]
-fn a_read_without_a_lease_waits_for_an_answer_to_a_later_message() {
-    let mut state = led();
-    state.beats = true;
-    state.tell(0, Event::Read(ProposalId(1)));
+fn read_without_a_lease_waits_for_an_answer_to_a_later_message() {
+    let mut state = with_leader();
+    state.keep_heartbeats = true;
+    state.deliver_event(0, Event::Read(ProposalId(1)));
     assert_eq!(state.ready.len(), 1);
     state.clocks[0] += ELECTION - ELECTION / 20;
-    state.tell(0, Event::Read(ProposalId(2)));
+    state.deliver_event(0, Event::Read(ProposalId(2)));
     assert_eq!(state.ready.len(), 1);
     let now = state.clocks[0];
     let answer = |sent: Time| Envelope {
@@ -122,9 +122,9 @@
         body: Message::HeartbeatReply { sent },
     };
     let (old, new) = (answer(now - ELECTION * 2), answer(now + ELECTION / 100));
-    state.tell(0, Event::Receive(old));
+    state.deliver_event(0, Event::Receive(old));
     assert_eq!(state.ready.len(), 1);
     state.clocks[0] += ELECTION / 50;
-    state.tell(0, Event::Receive(new));
+    state.deliver_event(0, Event::Receive(new));
     assert_eq!(state.ready.len(), 2);
 }
--- a/decision/consensus/tests/it/scenario.rs
+++ b/decision/consensus/tests/it/scenario.rs
@@ -1,4 +1,4 @@
-//! One fault at a time, and what the replicas make of it.
+//! Reaction of the replicas to single faults.
 
 use std::time::Duration;
 
@@ -11,11 +11,11 @@
 const SETTLE: Duration = Duration::from_secs(3);
 const ELECTION: Duration = Duration::from_millis(1_500);
 
-/// Replicas in calm, with all wanted members voting.
-fn calm(seed: u64, hosts: usize) -> World {
+/// Returns a world without faults in which all wanted members vote.
+fn stable_world(seed: u64, hosts: usize) -> World {
     let mut world = World::new(seed, hosts, hosts, Faults::none());
     world.run(SETTLE);
-    assert!(world.is_whole());
+    assert!(world.has_wanted_members());
     world
 }
 
@@ -41,7 +41,7 @@
         .role
 }
 
-/// Runs until something new is committed.
+/// Runs long enough for an election and checks that new entries are committed.
 fn assert_progress(world: &mut World) {
     let before = world.check.committed_up_to();
     world.run(ELECTION);
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn a_single_replica_leads_at_once_and_commits_after_its_own_sync() {
+fn single_replica_leads_at_once_and_commits_after_its_own_sync() {
     let mut world = World::new(1, 1, 1, Faults::none());
     world.run(Duration::from_millis(100));
     assert_eq!(leader(&world), 0);
@@ -59,19 +59,19 @@
 
 #[test]
 fn founders_become_voters_once_they_have_caught_up() {
-    let world = calm(2, 5);
+    let world = stable_world(2, 5);
     let config = world.node(leader(&world)).unwrap().config();
     assert_eq!((config.voters.len(), config.learners.len()), (5, 0));
 }
 
 #[test]
-fn a_leader_cut_off_stops_within_its_lease_and_does_no_harm_when_it_returns() {
-    let mut world = calm(3, 3);
+fn isolated_leader_stops_within_its_lease_and_rejoins_as_a_follower() {
+    let mut world = stable_world(3, 3);
     let old = leader(&world);
     world.cut_off(old, false, false);
     world.run(Duration::from_millis(350));
     assert_ne!(world.leader(), Some(old));
-    world.tell(old, Event::Propose(ProposalId(u64::MAX), Vec::new().into()));
+    world.deliver_event(old, Event::Propose(ProposalId(u64::MAX), Vec::new().into()));
     let refusal = world.last_rejection();
     assert!(
         matches!(refusal, Some(Reject::NoQuorum | Reject::NotLeader(_))),
@@ -86,8 +86,8 @@
 }
 
 #[test]
-fn a_leader_that_cannot_hear_steps_down() {
-    let mut world = calm(4, 3);
+fn leader_that_receives_nothing_steps_down() {
+    let mut world = stable_world(4, 3);
     let old = leader(&world);
     world.cut_off(old, false, true);
     world.run(ELECTION);
@@ -96,21 +96,21 @@
 }
 
 #[test]
-fn a_follower_that_cannot_hear_does_not_disturb_the_leader() {
-    let mut world = calm(5, 3);
-    let (led, held) = (leader(&world), term(&world));
-    let deaf = follower(&world);
-    world.cut_off(deaf, false, true);
+fn follower_that_receives_nothing_does_not_disturb_the_leader() {
+    let mut world = stable_world(5, 3);
+    let before = (leader(&world), term(&world));
+    let isolated = follower(&world);
+    world.cut_off(isolated, false, true);
     world.run(Duration::from_secs(60));
-    assert_eq!((leader(&world), term(&world)), (led, held));
+    assert_eq!((leader(&world), term(&world)), before);
     world.heal();
     world.run(SETTLE);
-    assert_eq!((leader(&world), term(&world)), (led, held));
+    assert_eq!((leader(&world), term(&world)), before);
 }
 
 #[test]
-fn a_replica_that_lost_its_disk_rejoins_as_a_learner_and_then_bears_a_second_loss() {
-    let mut world = calm(6, 3);
+fn replica_with_a_replaced_disk_rejoins_so_that_another_failure_is_tolerated() {
+    let mut world = stable_world(6, 3);
     let lost = follower(&world);
     let before = world.node(lost).unwrap().hard().identity.clone();
     world.lose_disk(lost);
@@ -118,7 +118,7 @@
     assert_eq!(role(&world, lost), RoleKind::Outsider);
     world.run(SETTLE);
     assert!(world.counts.refused > 0);
-    assert!(world.is_whole());
+    assert!(world.has_wanted_members());
     let after = world.node(lost).unwrap().hard().identity.clone();
     assert_eq!(before.name, after.name);
     assert_ne!(before.disk, after.disk);
@@ -129,8 +129,8 @@
 }
 
 #[test]
-fn a_replica_far_behind_catches_up_from_a_snapshot() {
-    let mut world = calm(7, 3);
+fn replica_far_behind_catches_up_from_a_snapshot() {
+    let mut world = stable_world(7, 3);
     let late = follower(&world);
     world.cut_off(late, false, false);
     world.run(Duration::from_secs(10));
@@ -142,18 +142,18 @@
 }
 
 #[test]
-fn a_planned_stop_hands_over_without_an_election_timeout() {
-    let mut world = calm(8, 3);
+fn planned_stop_transfers_leadership_without_an_election_timeout() {
+    let mut world = stable_world(8, 3);
     let old = leader(&world);
-    world.tell(old, Event::Transfer);
+    world.deliver_event(old, Event::Transfer);
     world.run(Duration::from_millis(60));
     assert_ne!(leader(&world), old);
 }
 
 #[test]
-fn a_leader_whose_disk_fails_or_fills_up_hands_over() {
+fn leader_with_a_failed_or_full_disk_transfers_leadership() {
     for fault in [Fault::Fail, Fault::Fill] {
-        let mut world = calm(9, 3);
+        let mut world = stable_world(9, 3);
         let old = leader(&world);
         world.arm(old, 0, fault);
         world.run(Duration::from_millis(150));
@@ -164,27 +164,27 @@
 }
 
 #[test]
-fn changes_of_members_are_refused_with_the_reason() {
-    let mut world = calm(10, 3);
-    let led = leader(&world);
-    let (one, two) = ((led + 1) % 3, (led + 2) % 3);
-    let known = world.node(led).unwrap().config().voters[&world.name(one)].clone();
+fn membership_changes_are_rejected_with_a_reason() {
+    let mut world = stable_world(10, 3);
+    let leader = leader(&world);
+    let (one, two) = ((leader + 1) % 3, (leader + 2) % 3);
+    let member = world.node(leader).unwrap().config().voters[&world.name(one)].clone();
     let mut refusals = Vec::new();
-    let mut ask = |world: &mut World, change| {
+    let mut request = |world: &mut World, change| {
         world.check.last_rejection = None;
-        world.tell(led, Event::Change(ProposalId(u64::MAX), change));
+        world.deliver_event(leader, Event::Change(ProposalId(u64::MAX), change));
         refusals.push(world.last_rejection().map(|r| r.to_string()));
     };
     let name = world.name(one);
-    ask(&mut world, Change::Add(name, known));
-    ask(&mut world, Change::Remove("ge-east-a-1".into()));
+    request(&mut world, Change::Add(name, member));
+    request(&mut world, Change::Remove("ge-east-a-1".into()));
     world.cut_off(one, false, false);
     world.run(Duration::from_millis(400));
     let name = world.name(two);
-    ask(&mut world, Change::Remove(name));
+    request(&mut world, Change::Remove(name));
     world.want(one, false);
     let name = world.name(one);
-    ask(&mut world, Change::Remove(name.clone()));
-    ask(&mut world, Change::Remove(name));
+    request(&mut world, Change::Remove(name.clone()));
+    request(&mut world, Change::Remove(name));
     insta::assert_debug_snapshot!(refusals);
 }
--- a/decision/consensus/tests/it/sim/chaos.rs
+++ b/decision/consensus/tests/it/sim/chaos.rs
@@ -1,4 +1,4 @@
-//! Faults by chance.
+//! Random fault injection.
 
 use std::time::Duration;
 
@@ -8,23 +8,23 @@
 
 use super::{Item, World};
 
-/// How likely faults are.
+/// Probabilities of faults.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Faults {
-    /// Chance that a message is lost.
+    /// Probability that a message is lost.
     pub(crate) loss: f64,
-    /// Chance that a message arrives twice.
+    /// Probability that a message is delivered twice.
     pub(crate) duplicates: f64,
-    /// Chance that a message arrives late and out of order.
+    /// Probability that a message is delayed and reordered.
     pub(crate) late: f64,
-    /// Chance that a sync takes long.
+    /// Probability that a sync is slow.
     pub(crate) slow_disk: f64,
-    /// Longest pause between larger faults; none at zero.
+    /// Maximum interval between larger faults; zero disables them.
     pub(crate) pause: Duration,
 }
 
 impl Faults {
-    /// A well-behaved world.
+    /// No faults.
     pub(crate) fn none() -> Self {
         Self {
             loss: 0.0,
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Everything that can go wrong, again and again.
+    /// All kinds of faults.
     pub(crate) fn all() -> Self {
         Self {
             loss: 0.02,
@@ -48,41 +48,41 @@
 }
 
 impl World {
-    /// Does one larger fault and schedules the next.
-    pub(super) fn disturb(&mut self) {
-        let most = u64::try_from(self.faults.pause.as_micros()).unwrap_or(0);
-        if most == 0 {
+    /// Injects one larger fault and schedules the next one.
+    pub(super) fn inject_fault(&mut self) {
+        let max_wait = u64::try_from(self.faults.pause.as_micros()).unwrap_or(0);
+        if max_wait == 0 {
             return;
         }
-        let wait = self.rng.random_range(1..=most);
+        let wait = self.rng.random_range(1..=max_wait);
         self.schedule(Duration::from_micros(wait), Item::Chaos);
         let host = self.rng.random_range(0..self.hosts.len());
         match self.rng.random_range(0..16) {
-            0 => self.cut(host, false, false),
-            1 => self.cut(host, true, false),
-            2 => self.cut(host, false, true),
-            3 => self.split(),
+            0 => self.isolate(host, false, false),
+            1 => self.isolate(host, true, false),
+            2 => self.isolate(host, false, true),
+            3 => self.partition(),
             4..=6 => self.heal(),
             7 => self.crash(host),
-            8 => self.arm_chance(host, Fault::Crash),
-            9 => self.arm_chance(host, Fault::Fail),
-            10 => self.arm_chance(host, Fault::Fill),
+            8 => self.arm_randomly(host, Fault::Crash),
+            9 => self.arm_randomly(host, Fault::Fail),
+            10 => self.arm_randomly(host, Fault::Fill),
             11 => self.replace_disk(host),
             12 => self.step_clock(host),
             13 => self.pause(host),
-            14 => self.hand_over(),
-            _ => self.reshape(host),
+            14 => self.transfer_leadership(),
+            _ => self.change_wanted(host),
         }
         self.restart_failed();
     }
 
-    fn cut(&mut self, host: usize, hears: bool, speaks: bool) {
+    fn isolate(&mut self, host: usize, receives: bool, sends: bool) {
         self.counts.partitions += 1;
-        self.cut_off(host, hears, speaks);
+        self.cut_off(host, receives, sends);
     }
 
-    /// Splits the hosts into two groups.
-    fn split(&mut self) {
+    /// Partitions the hosts into two random groups.
+    fn partition(&mut self) {
         self.counts.partitions += 1;
         let side: Vec<bool> = (0..self.hosts.len()).map(|_| self.rng.random()).collect();
         for from in 0..side.len() {
@@ -100,23 +100,24 @@
         }
     }
 
-    fn arm_chance(&mut self, host: usize, fault: Fault) {
+    fn arm_randomly(&mut self, host: usize, fault: Fault) {
         let after = self.rng.random_range(0..12);
         self.arm(host, after, fault);
     }
 
-    /// Replaces a disk, if the log can bear it: three voters and no other loss under repair.
+    /// Replaces a disk if the log tolerates it: at least three voters and no other repair in progress.
     fn replace_disk(&mut self, host: usize) {
         let voters = self
             .leader()
             .and_then(|n| self.node(n))
             .map(|n| n.config().voters.len());
-        if voters.is_some_and(|v| v >= 3) && self.is_whole() && self.leader_settled() {
+        if voters.is_some_and(|v| v >= 3) && self.has_wanted_members() && self.is_config_committed()
+        {
             self.lose_disk(host);
         }
     }
 
-    fn leader_settled(&self) -> bool {
+    fn is_config_committed(&self) -> bool {
         self.leader()
             .and_then(|n| Some((n, self.node(n)?)))
             .is_some_and(|(n, node)| {
@@ -127,33 +128,33 @@
 
     fn step_clock(&mut self, host: usize) {
         self.counts.clock_steps += 1;
-        self.hosts[host].shift = self.rng.random_range(0..2_000_000_000);
+        self.hosts[host].wall_offset = self.rng.random_range(0..2_000_000_000);
     }
 
     fn pause(&mut self, host: usize) {
         self.counts.pauses += 1;
         let millis = self.rng.random_range(50..3_000);
-        self.hosts[host].paused = self.time + Duration::from_millis(millis);
+        self.hosts[host].paused_until = self.time + Duration::from_millis(millis);
     }
 
-    fn hand_over(&mut self) {
+    fn transfer_leadership(&mut self) {
         if let Some(leader) = self.leader() {
             self.counts.transfers += 1;
-            self.tell(leader, Event::Transfer);
+            self.deliver_event(leader, Event::Transfer);
         }
     }
 
-    /// Wants one host more or less as a member, between three and all.
-    fn reshape(&mut self, host: usize) {
+    /// Adds the host to the wanted members, or removes it while more than three are wanted.
+    fn change_wanted(&mut self, host: usize) {
         let members = self.wanted.iter().filter(|w| **w).count();
         if !self.wanted[host] {
             self.want(host, true);
-        } else if members > 3 && self.is_whole() {
+        } else if members > 3 && self.has_wanted_members() {
             self.want(host, false);
         }
     }
 
-    /// An operator restarts replicas whose disk failed.
+    /// Restarts replicas with a failed disk with some probability, as an operator would.
     fn restart_failed(&mut self) {
         for host in 0..self.hosts.len() {
             let failed = self.node(host).is_some_and(Node::is_failed);
--- a/decision/consensus/tests/it/sim/check.rs
+++ b/decision/consensus/tests/it/sim/check.rs
@@ -1,4 +1,4 @@
-//! The rules that hold after every step.
+//! Safety rules, checked after every step.
 
 use std::collections::BTreeMap;
 
@@ -11,12 +11,12 @@
 use super::host::Host;
 use super::machine::Recorder;
 
-/// Everything that was ever decided in a run.
+/// History of a run against which every step is checked.
 pub(crate) struct Checker {
     seed: u64,
     leaders: BTreeMap<Term, Identity>,
     votes: BTreeMap<(Term, Identity), Identity>,
-    /// Every entry ever written: the term of the one before and its content.
+    /// Every written entry, with the term of its predecessor.
     entries: BTreeMap<(Index, Term), (Term, Entry)>,
     committed: BTreeMap<Index, Committed>,
     proposals: BTreeMap<ProposalId, Vec<u8>>,
@@ -45,13 +45,13 @@
         }
     }
 
-    /// Names the run, for failures.
+    /// Identifies the run in failure messages.
     pub(crate) fn run(&self) -> String {
         format!("seed {}", self.seed)
     }
 
     fn fail(&self, rule: &str, detail: &str) -> ! {
-        panic!("{rule} is broken: {detail}; {}", self.run())
+        panic!("{rule} violated: {detail}; {}", self.run())
     }
 
     pub(crate) fn committed_up_to(&self) -> Index {
@@ -62,7 +62,7 @@
             .unwrap_or_default()
     }
 
-    /// Lease safety: one valid lease at any moment.
+    /// Lease safety: at most one replica holds a valid lease at any time.
     pub(crate) fn leases(&self, time: Time, hosts: &[Host]) {
         let holders: Vec<_> = hosts
             .iter()
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Election safety, leader completeness and the course of the commit position.
+    /// Election safety, leader completeness and a commit index that never decreases.
     pub(crate) fn node(&mut self, host: &mut Host, counts: &mut Counts) {
         let Some(process) = &host.process else {
             return;
@@ -86,12 +86,12 @@
         let node = &process.node;
         if node.commit() < host.commit {
             self.fail(
-                "commit never back",
+                "monotonic commit index",
                 &format!("{} on {}", node.commit(), host.name),
             );
         }
         host.commit = node.commit();
-        if !node.is_leader() || host.led == Some(node.term()) {
+        if !node.is_leader() || host.led_term == Some(node.term()) {
             return;
         }
         let (term, me) = (node.term(), node.hard().identity.clone());
@@ -121,10 +121,10 @@
                 );
             }
         }
-        host.led = Some(term);
+        host.led_term = Some(term);
     }
 
-    /// Log matching: equal positions and terms mean equal entries and equal logs before them.
+    /// Log matching: entries with equal index and term are equal, as are the logs before them.
     pub(crate) fn written(&mut self, host: &Host, write: &Write) {
         let Some(first) = write.entries.first() else {
             return;
@@ -151,7 +151,7 @@
         }
     }
 
-    /// A replica gives one vote in a term, whatever happens to its process.
+    /// A replica grants one vote per term, also across restarts.
     pub(crate) fn sent(&mut self, envelope: &Envelope) {
         if !matches!(envelope.body, Message::VoteReply { granted: true }) {
             return;
@@ -160,11 +160,11 @@
         let first = self.votes.entry(key).or_insert_with(|| envelope.to.clone());
         if *first != envelope.to {
             let detail = format!("{} voted twice in term {}", envelope.from, envelope.term);
-            self.fail("one vote a term", &detail);
+            self.fail("one vote per term", &detail);
         }
     }
 
-    /// State machine safety: the same entry at the same position everywhere.
+    /// State machine safety: all replicas apply the same entry at an index.
     pub(crate) fn applied(&mut self, entry: &Entry, term: Term, machine: &Recorder) {
         let index = entry.id.index;
         let digest = machine.digest;
@@ -206,7 +206,7 @@
         self.last_rejection = Some(reason.clone());
     }
 
-    /// Committed never lost: what was acknowledged stands where the answer says.
+    /// Durability: an acknowledged command is committed at the index in its answer.
     pub(crate) fn acknowledged(&mut self, id: ProposalId, outcome: &Outcome) {
         let Some(command) = self.proposals.remove(&id) else {
             return;
@@ -215,30 +215,30 @@
             && (*answer != command || !self.committed.contains_key(index))
         {
             self.fail(
-                "committed never lost",
+                "durability of acknowledged commands",
                 &format!("{id} was answered at {index}"),
             );
         }
     }
 
-    pub(crate) fn read_asked(&mut self, id: ProposalId) {
+    pub(crate) fn read_requested(&mut self, id: ProposalId) {
         self.reads.insert(id, self.committed_up_to());
     }
 
-    /// No stale read: a read sees everything that was committed when it was asked.
+    /// Linearizable reads: a read covers all entries committed when it was requested.
     pub(crate) fn read_ready(&mut self, id: ProposalId, index: Index) {
-        let Some(least) = self.reads.remove(&id) else {
+        let Some(min) = self.reads.remove(&id) else {
             return;
         };
-        if index < least {
+        if index < min {
             self.fail(
-                "reads are current",
-                &format!("{index} was read after {least}"),
+                "linearizable reads",
+                &format!("{index} was read after {min}"),
             );
         }
     }
 
-    /// All members hold the same state once the faults have ended.
+    /// All members have the same state after the faults have ended.
     pub(crate) fn agreement(&self, hosts: &[Host]) {
         let newest = self.committed_up_to();
         let leader = hosts
@@ -250,7 +250,7 @@
         };
         for host in hosts.iter().filter(|h| config.member(&h.name).is_some()) {
             let Some(process) = &host.process else {
-                self.fail("agreement", &format!("{} does not run", host.name));
+                self.fail("agreement", &format!("{} is not running", host.name));
             };
             let applied = process.applier.applied();
             let digest = self.committed.get(&applied).map(|c| c.digest);
--- a/decision/consensus/tests/it/sim/host.rs
+++ b/decision/consensus/tests/it/sim/host.rs
@@ -1,4 +1,4 @@
-//! One instance: its disk, its clocks and the process that runs on it.
+//! Simulated instance with its disk, its clocks and its process.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -15,27 +15,32 @@
 
 use super::machine::Recorder;
 
-/// How much clocks differ at most.
+/// Maximum rate error of a clock, as a fraction.
 const DRIFT: f64 = 0.05;
-/// Small segments, so that many are started and removed.
+/// Small enough that segments are often started and removed.
 const SEGMENT_BYTES: u64 = 1_024;
 
-/// One instance.
+/// Simulated instance.
 pub(crate) struct Host {
     pub(crate) name: InstanceName,
     pub(crate) address: SocketAddr,
     pub(crate) disk: FakeDisk,
     pub(crate) process: Option<Process>,
     pub(crate) ticking: bool,
-    pub(crate) paused: Time,
-    /// Highest commit seen of the running process.
+    /// End of the current pause.
+    pub(crate) paused_until: Time,
+    /// Commit index of the running process at the last check.
     pub(crate) commit: Index,
-    /// Last term in which the running process was seen to lead.
-    pub(crate) led: Option<Term>,
+    /// Last term in which a process of this host was found to lead.
+    pub(crate) led_term: Option<Term>,
+    /// Virtual time at the start of the process.
     start: Time,
+    /// Monotonic clock at the start of the process.
     origin: Time,
+    /// Rate of the monotonic clock.
     rate: f64,
-    pub(crate) shift: u64,
+    /// Offset of the wall clock in microseconds.
+    pub(crate) wall_offset: u64,
 }
 
 /// A running replica.
@@ -44,11 +49,12 @@
     pub(crate) storage: Storage<FakeDisk>,
     pub(crate) applier: Applier<Recorder>,
     pub(crate) writes: VecDeque<Write>,
+    /// Messages that wait for a sync.
     pub(crate) held: Vec<(Ticket, Envelope)>,
     pub(crate) synced: Ticket,
 }
 
-/// Small bounds, so that every limit is met often.
+/// Limits small enough to be reached often.
 pub(crate) fn options() -> Options {
     Options {
         election_timeout: Duration::from_millis(350),
@@ -72,17 +78,17 @@
             disk: FakeDisk::new(seed),
             process: None,
             ticking: false,
-            paused: Time::ZERO,
+            paused_until: Time::ZERO,
             commit: Index(0),
-            led: None,
+            led_term: None,
             start: Time::ZERO,
             origin: Time::ZERO,
             rate: 1.0,
-            shift: 1_000_000_000,
+            wall_offset: 1_000_000_000,
         }
     }
 
-    /// Monotonic time of the host's process.
+    /// Monotonic clock of the process at virtual time `time`.
     pub(crate) fn local(&self, time: Time) -> Time {
         self.origin + time.since(self.start).mul_f64(self.rate)
     }
@@ -90,11 +96,11 @@
     pub(crate) fn moment(&self, time: Time) -> Moment {
         Moment {
             now: self.local(time),
-            wall: time + Duration::from_micros(self.shift),
+            wall: time + Duration::from_micros(self.wall_offset),
         }
     }
 
-    /// Gives a new process a new start of time, at a rate within the drift.
+    /// Draws a new origin and rate, within the drift, for the clock of a new process.
     pub(crate) fn reset_clock(&mut self, time: Time, rng: &mut ChaCha8Rng) {
         self.start = time;
         self.origin = Time::from_millis(rng.random_range(0..1_000_000));
--- a/decision/consensus/tests/it/sim/machine.rs
+++ b/decision/consensus/tests/it/sim/machine.rs
@@ -1,9 +1,9 @@
-//! A machine that remembers a digest of all commands in their order.
+//! State machine that computes a digest of all commands in order.
 
 use pimentotide_consensus::{Index, Machine, RestoreError};
 use pimentotide_model::Time;
 
-/// Digest of all commands in their order.
+/// Digest of all commands in order.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Recorder {
     pub(crate) digest: u64,
@@ -13,7 +13,7 @@
 
 impl Recorder {
     pub(crate) fn encode(&self) -> Vec<u8> {
-        // The filling makes the state large enough to travel in several parts.
+        // Padding makes the state large enough to be sent in several chunks.
         let words = [self.digest, self.count, self.time.as_micros()];
         let mut bytes: Vec<u8> = words.iter().flat_map(|w| w.to_le_bytes()).collect();
         bytes.resize(200, 0xee);
@@ -23,7 +23,7 @@
 
 impl Machine for Recorder {
     fn apply(&mut self, index: Index, time: Time, command: &[u8]) -> Vec<u8> {
-        assert!(time >= self.time, "time went back at {index}");
+        assert!(time >= self.time, "time decreased at {index}");
         self.time = time;
         self.count += 1;
         for byte in command {
--- a/decision/consensus/tests/it/sim/mod.rs
+++ b/decision/consensus/tests/it/sim/mod.rs
@@ -1,7 +1,7 @@
-//! Replicas under virtual time with a hostile network, hostile disks and hostile clocks.
+//! Simulation of replicas in virtual time with network, disk and clock faults.
 //!
-//! One step handles one event of the queue. After every step the checker looks
-//! at all replicas; a broken rule ends the run with its name and the seed.
+//! A step handles one event of the queue. After every step the safety rules are
+//! checked; a violation panics with the rule and the seed.
 
 mod chaos;
 mod check;
@@ -27,12 +27,12 @@
 use host::{Host, Process};
 use network::Network;
 
-/// Pause between ticks of a replica.
+/// Interval between ticks of a replica.
 const TICK: Duration = Duration::from_millis(10);
-/// Pause between attempts of the operator.
-const OPERATE: Duration = Duration::from_millis(100);
+/// Interval between membership checks by the operator.
+const OPERATOR_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Something that happens at one time.
+/// Scheduled event.
 #[derive(Clone, Debug)]
 pub(crate) enum Item {
     Deliver(Box<Envelope>),
@@ -46,19 +46,19 @@
 
 macro_rules! counts {
     ($($name:ident)*) => {
-        /// What happened in a run, to be reported.
+        /// Number of events in a run.
         #[derive(Clone, Debug, Default, PartialEq, Eq)]
         pub(crate) struct Counts {
             $(pub(crate) $name: u64,)*
         }
 
         impl Counts {
-            /// Adds the counts of another run.
+            /// Adds the numbers of another run.
             pub(crate) fn add(&mut self, other: &Self) {
                 $(self.$name += other.$name;)*
             }
 
-            /// Whether everything happened at least once.
+            /// Returns whether every kind of event occurred.
             pub(crate) fn is_complete(&self) -> bool {
                 $(self.$name > 0)&&*
             }
@@ -70,7 +70,7 @@
     steps delivered dropped duplicated crashes disk_failures disk_losses partitions clock_steps pauses transfers changes elections snapshots installs acknowledged reads refused
 }
 
-/// All replicas and what is between them.
+/// Simulated replicas, their network, clients and operator.
 pub(crate) struct World {
     pub(crate) time: Time,
     pub(crate) counts: Counts,
@@ -82,12 +82,12 @@
     queue: BTreeMap<(Time, u64), Item>,
     sequence: u64,
     command: u64,
-    /// Names that the operator wants as members.
+    /// Whether the operator wants each host as a member.
     wanted: Vec<bool>,
 }
 
 impl World {
-    /// Founds a log on the first of `hosts` replicas, with `members` of them wanted.
+    /// Bootstraps a log on the first of `hosts` replicas, with the first `members` of them wanted.
     pub(crate) fn new(seed: u64, hosts: usize, members: usize, faults: Faults) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let mut world = Self {
@@ -103,11 +103,11 @@
             wanted: (0..hosts).map(|n| n < members).collect(),
             rng,
         };
-        world.found();
+        world.bootstrap();
         for host in 0..hosts {
             world.schedule(Duration::ZERO, Item::Start(host));
         }
-        world.schedule(OPERATE, Item::Operate);
+        world.schedule(OPERATOR_INTERVAL, Item::Operate);
         world.schedule(Duration::from_millis(1), Item::Client);
         if world.faults.pause > Duration::ZERO {
             world.schedule(Duration::from_secs(2), Item::Chaos);
@@ -115,7 +115,7 @@
         world
     }
 
-    /// Handles one event.
+    /// Handles the next scheduled event.
     pub(crate) fn step(&mut self) {
         let Some(((time, _), item)) = self.queue.pop_first() else {
             return;
@@ -138,12 +138,12 @@
         }
     }
 
-    /// Ends all faults, lets the replicas settle and checks that they agree.
+    /// Ends all faults, runs for 20 s and checks that the replicas agree.
     pub(crate) fn settle(&mut self) {
         self.faults = Faults::none();
         self.network.heal();
         for host in 0..self.hosts.len() {
-            self.hosts[host].paused = Time::ZERO;
+            self.hosts[host].paused_until = Time::ZERO;
             if self.hosts[host]
                 .process
                 .as_ref()
@@ -158,18 +158,18 @@
         let leader = self.leader();
         assert!(
             leader.is_some(),
-            "no leader in the end, {}",
+            "no leader after the faults have ended, {}",
             self.check.run()
         );
         assert!(
             self.check.committed_up_to() > before,
-            "nothing is committed in the end, {}",
+            "no commits after the faults have ended, {}",
             self.check.run()
         );
         self.check.agreement(&self.hosts);
     }
 
-    /// Host that leads under a lease.
+    /// Returns the host that holds a leader lease.
     pub(crate) fn leader(&self) -> Option<usize> {
         (0..self.hosts.len()).find(|n| {
             let host = &self.hosts[*n];
@@ -178,7 +178,7 @@
         })
     }
 
-    /// Status of every running replica.
+    /// Returns the status of every running replica.
     pub(crate) fn statuses(&self) -> Vec<Status> {
         self.hosts
             .iter()
@@ -186,34 +186,34 @@
             .collect()
     }
 
-    /// State machine of a running host.
+    /// Returns the node of a host, if its process is running.
     pub(crate) fn node(&self, host: usize) -> Option<&Node> {
         self.hosts[host].process.as_ref().map(|p| &p.node)
     }
 
-    /// Name of a host.
+    /// Returns the name of a host.
     pub(crate) fn name(&self, host: usize) -> InstanceName {
         self.hosts[host].name.clone()
     }
 
-    /// Cuts a host off from all others, in one or both directions.
-    pub(crate) fn cut_off(&mut self, host: usize, hears: bool, speaks: bool) {
+    /// Blocks the links between a host and all others, in one or both directions.
+    pub(crate) fn cut_off(&mut self, host: usize, receives: bool, sends: bool) {
         for other in (0..self.hosts.len()).filter(|n| *n != host) {
-            if !hears {
+            if !receives {
                 self.network.block(other, host);
             }
-            if !speaks {
+            if !sends {
                 self.network.block(host, other);
             }
         }
     }
 
-    /// Ends all partitions.
+    /// Unblocks all links.
     pub(crate) fn heal(&mut self) {
         self.network.heal();
     }
 
-    /// Replaces a host's disk by an empty one.
+    /// Replaces the disk of a host by an empty one and restarts the host.
     pub(crate) fn lose_disk(&mut self, host: usize) {
         self.hosts[host].process = None;
         self.hosts[host].disk.wipe();
@@ -221,23 +221,23 @@
         self.schedule(Duration::from_millis(50), Item::Start(host));
     }
 
-    /// Tells a host's disk to fail at a later operation.
+    /// Injects a fault into a later operation of a host's disk.
     pub(crate) fn arm(&mut self, host: usize, after: u64, fault: pimentotide_storage::fake::Fault) {
         self.hosts[host].disk.arm(after, fault);
     }
 
-    /// Hands an event to a host's replica.
-    pub(crate) fn tell(&mut self, host: usize, event: Event) {
+    /// Passes an event to the replica of a host.
+    pub(crate) fn deliver_event(&mut self, host: usize, event: Event) {
         let at = self.hosts[host].moment(self.time);
         let Some(process) = &mut self.hosts[host].process else {
             return;
         };
         let actions = process.node.step(event, at);
-        self.carry_out(host, actions);
+        self.perform(host, actions);
         self.check.node(&mut self.hosts[host], &mut self.counts);
     }
 
-    /// Stops wanting a host as a member, or starts to.
+    /// Sets whether the operator wants a host as a member.
     pub(crate) fn want(&mut self, host: usize, wanted: bool) {
         self.wanted[host] = wanted;
     }
@@ -247,7 +247,7 @@
         self.queue.insert((self.time + after, self.sequence), item);
     }
 
-    fn found(&mut self) {
+    fn bootstrap(&mut self) {
         let mut config = Config::default();
         for (n, host) in self.hosts.iter().enumerate() {
             let opened = Storage::open(host.disk.clone(), &host.name, &mut self.rng).unwrap();
@@ -271,27 +271,27 @@
         match item {
             Item::Deliver(envelope) => self.deliver(*envelope),
             Item::Tick(host) => {
-                if self.postpone(host, &Item::Tick(host)) {
+                if self.defer_if_paused(host, &Item::Tick(host)) {
                     return;
                 }
-                self.tell(host, Event::Tick);
+                self.deliver_event(host, Event::Tick);
                 if self.hosts[host].process.is_some() {
                     self.schedule(TICK, Item::Tick(host));
                 } else {
                     self.hosts[host].ticking = false;
                 }
             }
-            Item::Disk(host) => self.work_disk(host),
+            Item::Disk(host) => self.perform_writes(host),
             Item::Start(host) => self.start(host),
-            Item::Client => self.call(),
-            Item::Operate => self.operate(),
-            Item::Chaos => self.disturb(),
+            Item::Client => self.run_client(),
+            Item::Operate => self.run_operator(),
+            Item::Chaos => self.inject_fault(),
         }
     }
 
-    /// Puts off what a paused host should do.
-    fn postpone(&mut self, host: usize, item: &Item) -> bool {
-        let until = self.hosts[host].paused;
+    /// Reschedules an event of a paused host; returns whether the host is paused.
+    fn defer_if_paused(&mut self, host: usize, item: &Item) -> bool {
+        let until = self.hosts[host].paused_until;
         if until <= self.time {
             return false;
         }
@@ -314,7 +314,7 @@
             Ok((process, actions)) => {
                 self.hosts[host].process = Some(process);
                 self.hosts[host].commit = Index(0);
-                self.carry_out(host, actions);
+                self.perform(host, actions);
                 if !std::mem::replace(&mut self.hosts[host].ticking, true) {
                     self.schedule(TICK, Item::Tick(host));
                 }
@@ -333,7 +333,7 @@
         }
     }
 
-    /// Ends a host's process; its disk keeps what was synced.
+    /// Kills the process of a host and schedules a restart; the disk keeps synced data.
     fn kill(&mut self, host: usize) {
         self.hosts[host].process = None;
         self.hosts[host].disk.restart();
@@ -342,9 +342,9 @@
         self.schedule(Duration::from_millis(wait), Item::Start(host));
     }
 
-    /// Writes what waits, as one group, and reports it.
-    fn work_disk(&mut self, host: usize) {
-        if self.postpone(host, &Item::Disk(host)) {
+    /// Performs some pending writes as one group and reports the sync.
+    fn perform_writes(&mut self, host: usize) {
+        if self.defer_if_paused(host, &Item::Disk(host)) {
             return;
         }
         let Some(process) = &mut self.hosts[host].process else {
@@ -365,10 +365,10 @@
                 for (_, envelope) in ready {
                     self.transmit(&envelope);
                 }
-                self.tell(host, Event::Synced(ticket));
+                self.deliver_event(host, Event::Synced(ticket));
             }
             Err(_) if self.hosts[host].disk.is_crashed() => self.kill(host),
-            Err(_) => self.lose_storage(host),
+            Err(_) => self.fail_storage(host),
         }
         if self.hosts[host]
             .process
@@ -379,18 +379,18 @@
         }
     }
 
-    /// Takes a host out after an error of its disk, until it is restarted.
-    fn lose_storage(&mut self, host: usize) {
+    /// Reports a disk error to the replica, which stays disabled until restarted.
+    fn fail_storage(&mut self, host: usize) {
         self.counts.disk_failures += 1;
         if let Some(process) = &mut self.hosts[host].process {
             process.held.clear();
             process.writes.clear();
         }
-        self.tell(host, Event::DiskFailed);
+        self.deliver_event(host, Event::DiskFailed);
         let failed = self.node(host).is_some_and(Node::is_failed);
         assert!(
             failed,
-            "a replica goes on without its disk, {}",
+            "a replica continues after a disk error, {}",
             self.check.run()
         );
     }
@@ -405,7 +405,7 @@
         self.schedule(Duration::from_micros(micros), Item::Disk(host));
     }
 
-    fn carry_out(&mut self, host: usize, actions: Vec<Action>) {
+    fn perform(&mut self, host: usize, actions: Vec<Action>) {
         for action in actions {
             match action {
                 Action::Write(write) => {
@@ -458,11 +458,11 @@
             let state = process.applier.machine().encode();
             self.counts.snapshots += 1;
             let index = entry.id.index;
-            self.tell(host, Event::Compact(index, state.into()));
+            self.deliver_event(host, Event::Compact(index, state.into()));
         }
     }
 
-    /// Last rejection of a proposal, change or read.
+    /// Returns the reason of the last rejected proposal, change or read.
     pub(crate) fn last_rejection(&self) -> Option<Reject> {
         self.check.last_rejection.clone()
     }
--- a/decision/consensus/tests/it/sim/network.rs
+++ b/decision/consensus/tests/it/sim/network.rs
@@ -1,4 +1,4 @@
-//! Which hosts cannot reach which, and what becomes of messages.
+//! Simulated network: partitions, loss, duplication and delay of messages.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -8,7 +8,7 @@
 
 use super::{Item, World};
 
-/// Blocked directions.
+/// Links between hosts, each blocked per direction.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Network {
     blocked: BTreeSet<(usize, usize)>,
@@ -33,11 +33,11 @@
         let Some(host) = self.host(&envelope.to) else {
             return;
         };
-        if self.postpone(host, &Item::Deliver(Box::new(envelope.clone()))) {
+        if self.defer_if_paused(host, &Item::Deliver(Box::new(envelope.clone()))) {
             return;
         }
         self.counts.delivered += 1;
-        self.tell(host, Event::Receive(envelope));
+        self.deliver_event(host, Event::Receive(envelope));
     }
 
     pub(super) fn send(&mut self, host: usize, after: Ticket, envelope: Envelope) {
--- a/decision/consensus/tests/it/sim/operator.rs
+++ b/decision/consensus/tests/it/sim/operator.rs
@@ -1,37 +1,37 @@
-//! A client that proposes and reads, and an operator who looks after the members.
+//! Simulated client that proposes and reads, and operator that maintains the membership.
 
 use std::time::Duration;
 
 use pimentotide_consensus::{Change, Event, Member, Node, ProposalId};
 use rand::RngExt;
 
-use super::{Item, OPERATE, World};
+use super::{Item, OPERATOR_INTERVAL, World};
 
 impl World {
-    /// A client proposes or reads at any host that may lead.
-    pub(super) fn call(&mut self) {
+    /// Proposes or reads at a random host if it is a leader.
+    pub(super) fn run_client(&mut self) {
         let wait = self.rng.random_range(500..10_000);
         self.schedule(Duration::from_micros(wait), Item::Client);
         let host = self.rng.random_range(0..self.hosts.len());
         let leads = self.node(host).is_some_and(Node::is_leader);
-        if !leads || self.hosts[host].paused > self.time {
+        if !leads || self.hosts[host].paused_until > self.time {
             return;
         }
         self.command += 1;
         let id = ProposalId(self.command);
         if self.rng.random_bool(0.3) {
-            self.check.read_asked(id);
-            self.tell(host, Event::Read(id));
+            self.check.read_requested(id);
+            self.deliver_event(host, Event::Read(id));
         } else {
             let command: Vec<u8> = self.command.to_le_bytes().to_vec();
             self.check.proposed(id, &command);
-            self.tell(host, Event::Propose(id, command.into()));
+            self.deliver_event(host, Event::Propose(id, command.into()));
         }
     }
 
-    /// An operator brings the members in line with what is wanted.
-    pub(super) fn operate(&mut self) {
-        self.schedule(OPERATE, Item::Operate);
+    /// Requests one membership change towards the wanted members.
+    pub(super) fn run_operator(&mut self) {
+        self.schedule(OPERATOR_INTERVAL, Item::Operate);
         let Some(leader) = self.leader() else {
             return;
         };
@@ -40,7 +40,7 @@
         };
         self.command += 1;
         self.counts.changes += 1;
-        self.tell(leader, Event::Change(ProposalId(self.command), change));
+        self.deliver_event(leader, Event::Change(ProposalId(self.command), change));
     }
 
     fn next_change(&self, leader: usize) -> Option<Change> {
@@ -63,8 +63,8 @@
         None
     }
 
-    /// Whether every wanted host votes under its present disk.
-    pub(crate) fn is_whole(&self) -> bool {
+    /// Returns whether exactly the wanted hosts vote, under their current disks.
+    pub(crate) fn has_wanted_members(&self) -> bool {
         let Some(config) = self.leader().and_then(|n| self.node(n)).map(Node::config) else {
             return false;
         };
--- a/decision/consensus/tests/it/trio.rs
+++ b/decision/consensus/tests/it/trio.rs
@@ -1,6 +1,6 @@
-//! Three replicas whose messages and clocks a test moves by hand.
+//! Three replicas whose messages and clocks are controlled by the test.
 //!
-//! Each replica's clock stands still until it is moved. Writes are synced at once.
+//! The clock of a replica advances only when the test moves it. Writes are synced at once.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -14,22 +14,22 @@
 
 pub(crate) const REPLICAS: usize = 3;
 pub(crate) const ELECTION: Duration = Duration::from_micros(100);
-/// Longer than any election time.
+/// Longer than any randomized election timeout.
 pub(crate) const TIMEOUT: Duration = Duration::from_micros(1_000);
 
 #[derive(Clone)]
 pub(crate) struct State {
     pub(crate) nodes: Vec<Node>,
     pub(crate) clocks: [Time; REPLICAS],
-    pub(crate) under_way: Vec<Envelope>,
+    pub(crate) in_flight: Vec<Envelope>,
     pub(crate) committed: BTreeMap<Index, Entry>,
     pub(crate) leaders: BTreeMap<Term, Identity>,
     pub(crate) votes: BTreeMap<(Term, Identity), Identity>,
     pub(crate) timeouts: u8,
     pub(crate) proposals: u8,
     pub(crate) losses: u8,
-    /// Whether heartbeats are kept; they carry nothing new while no time passes.
-    pub(crate) beats: bool,
+    /// Whether heartbeats are delivered; without progress of time they change nothing.
+    pub(crate) keep_heartbeats: bool,
     /// Reads released so far.
     pub(crate) ready: Vec<(ProposalId, Index)>,
 }
@@ -39,7 +39,7 @@
         election_timeout: ELECTION,
         heartbeat_interval: Duration::from_secs(3_600),
         resend_timeout: Duration::from_secs(3_600),
-        // One entry in a message.
+        // One entry per message.
         max_batch_bytes: 1,
         ..Options::default()
     }
@@ -78,22 +78,22 @@
         .collect();
     State {
         nodes,
-        // Nobody has promised a leader anything when the search starts.
+        // Past the timeout of the start, so that every replica may vote at once.
         clocks: [Time::ZERO + TIMEOUT; REPLICAS],
-        under_way: Vec::new(),
+        in_flight: Vec::new(),
         committed: BTreeMap::new(),
         leaders: BTreeMap::new(),
         votes: BTreeMap::new(),
         timeouts: 0,
         proposals: 0,
         losses: 0,
-        beats: false,
+        keep_heartbeats: false,
         ready: Vec::new(),
     }
 }
 
 impl State {
-    pub(crate) fn tell(&mut self, number: usize, event: Event) {
+    pub(crate) fn deliver_event(&mut self, number: usize, event: Event) {
         let mut events = VecDeque::from([event]);
         let now = self.clocks[number];
         while let Some(event) = events.pop_front() {
@@ -112,15 +112,15 @@
     }
 
     fn send(&mut self, envelope: Envelope) {
-        if !self.beats && matches!(envelope.body, Message::Heartbeat { .. }) {
+        if !self.keep_heartbeats && matches!(envelope.body, Message::Heartbeat { .. }) {
             return;
         }
         if let Message::VoteReply { granted: true } = envelope.body {
             let key = (envelope.term, envelope.from.clone());
             let first = self.votes.entry(key).or_insert_with(|| envelope.to.clone());
-            assert_eq!(*first, envelope.to, "one vote a term");
+            assert_eq!(*first, envelope.to, "one vote per term");
         }
-        self.under_way.push(envelope);
+        self.in_flight.push(envelope);
     }
 
     fn apply(&mut self, entry: &Entry) {
@@ -153,31 +153,31 @@
         }
     }
 
-    /// Lets a replica time out and stand.
+    /// Advances the clock of a replica past its election timeout.
     pub(crate) fn time_out(&mut self, number: usize) {
         self.clocks[number] += TIMEOUT;
-        self.tell(number, Event::Tick);
+        self.deliver_event(number, Event::Tick);
     }
 
-    /// Delivers the first message between replicas for which `wanted` holds.
+    /// Delivers the first message that `wanted` accepts; returns whether there is one.
     pub(crate) fn deliver_one<F>(&mut self, wanted: F) -> bool
     where
         F: Fn(usize, usize, &Message) -> bool,
     {
         let number = |who: &Identity| (0..REPLICAS).find(|n| identity(*n) == *who).unwrap();
         let found = self
-            .under_way
+            .in_flight
             .iter()
             .position(|e| wanted(number(&e.from), number(&e.to), &e.body));
         let Some(at) = found else {
             return false;
         };
-        let envelope = self.under_way.remove(at);
-        self.tell(number(&envelope.to), Event::Receive(envelope));
+        let envelope = self.in_flight.remove(at);
+        self.deliver_event(number(&envelope.to), Event::Receive(envelope));
         true
     }
 
-    /// Delivers messages for which `wanted` holds, until there is none.
+    /// Delivers messages that `wanted` accepts until none is left.
     pub(crate) fn deliver<F>(&mut self, wanted: F)
     where
         F: Fn(usize, usize, &Message) -> bool,
