--- a/support/storage/src/disk.rs
+++ b/support/storage/src/disk.rs
@@ -1,34 +1,34 @@
-//! The few operations on files that the storage is built on.
+//! File operations used by the storage.
 
 use std::io;
 
-/// Files of one folder, without subfolders.
+/// Flat folder of files.
 ///
-/// Content counts as durable once `sync` of its file returned; the existence of
-/// a name counts as durable once `sync_folder` returned.
+/// The content of a file is durable once [`Disk::sync`] has returned; created,
+/// renamed and removed names are durable once [`Disk::sync_folder`] has returned.
 pub trait Disk {
-    /// Names of all files, sorted.
+    /// Returns the names of all files, sorted.
     fn list(&mut self) -> io::Result<Vec<String>>;
 
-    /// Reads a whole file.
+    /// Reads a complete file.
     fn read(&mut self, name: &str) -> io::Result<Vec<u8>>;
 
-    /// Creates an empty file, or empties an existing one.
+    /// Creates an empty file, or truncates an existing one.
     fn create(&mut self, name: &str) -> io::Result<()>;
 
-    /// Appends to a file.
+    /// Appends to an existing file.
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()>;
 
-    /// Cuts a file to its first `size` bytes.
+    /// Truncates a file to its first `size` bytes.
     fn truncate(&mut self, name: &str, size: u64) -> io::Result<()>;
 
     /// Makes the content of a file durable.
     fn sync(&mut self, name: &str) -> io::Result<()>;
 
-    /// Renames a file, replacing one of the new name.
+    /// Renames a file, replacing an existing file at the new name.
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()>;
 
-    /// Removes a file.
+    /// Removes a file; durable after the next [`Disk::sync_folder`].
     fn remove(&mut self, name: &str) -> io::Result<()>;
 
     /// Makes created, renamed and removed names durable.
--- a/support/storage/src/error.rs
+++ b/support/storage/src/error.rs
@@ -1,4 +1,4 @@
-//! Errors of the storage.
+//! Storage errors.
 
 use std::io;
 use std::path::Path;
@@ -6,13 +6,13 @@
 use derive_more::Display;
 use pimentotide_model::{ErrorKind, Failure};
 
-/// Kind of a storage error.
+/// Cause of a storage error.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Hash)]
 pub enum StorageErrorKind {
     /// Another process has the folder open.
     #[display("the data folder is in use")]
     InUse,
-    /// There is no room.
+    /// The disk or its quota is full.
     #[display("the disk is full")]
     Full,
     /// Synced data is damaged or missing.
@@ -21,21 +21,21 @@
     /// The folder belongs to another replica.
     #[display("the data folder belongs to another replica")]
     Foreign,
-    /// A write or sync failed before; nothing more is written.
-    #[display("the storage is out of action after an earlier error")]
+    /// An earlier write or sync failed; further writes are refused.
+    #[display("the storage is disabled after an earlier error")]
     Poisoned,
-    /// Any other error of the disk.
+    /// Any other I/O error.
     #[display("the disk failed")]
     Failed,
 }
 
-/// Error of the storage.
+/// Error of a storage operation.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 #[display("{kind}: {detail}")]
 pub struct StorageError {
-    /// Kind.
+    /// Cause, for callers that act on it.
     pub kind: StorageErrorKind,
-    /// What exactly happened, with the name of the file.
+    /// Failed operation, with the name of the file.
     pub detail: String,
 }
 
@@ -59,19 +59,19 @@
         Self::new(StorageErrorKind::Corrupt, detail)
     }
 
-    /// Describes why a data folder cannot be opened.
+    /// Builds the error for a data folder that cannot be opened.
     pub fn opening(folder: &Path, error: &io::Error) -> Self {
         Self::io(&format!("cannot open {}", folder.display()), error)
     }
 
-    /// Describes an I/O error during `what`.
-    pub(crate) fn io(what: &str, error: &io::Error) -> Self {
+    /// Builds the error for an I/O error, with a description of the failed operation.
+    pub(crate) fn io(operation: &str, error: &io::Error) -> Self {
         let kind = match error.kind() {
             io::ErrorKind::StorageFull | io::ErrorKind::QuotaExceeded => StorageErrorKind::Full,
             io::ErrorKind::WouldBlock => StorageErrorKind::InUse,
             _ => StorageErrorKind::Failed,
         };
-        Self::new(kind, format!("{what}: {error}"))
+        Self::new(kind, format!("{operation}: {error}"))
     }
 }
 
--- a/support/storage/src/fake.rs
+++ b/support/storage/src/fake.rs
@@ -1,4 +1,4 @@
-//! A disk in memory that crashes, fills up, fails and vanishes on demand.
+//! In-memory disk for tests with injected crashes, errors and data loss.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::io;
@@ -9,18 +9,18 @@
 
 use crate::Disk;
 
-/// What the disk does when its countdown ends.
+/// Fault to inject.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// The process dies in the middle of the operation.
+    /// The process crashes in the middle of the operation.
     Crash,
     /// The operation and all later ones fail.
     Fail,
-    /// There is no room from now on.
+    /// This operation and all later ones fail as the disk is full.
     Fill,
 }
 
-/// A disk in memory; clones share the content.
+/// In-memory disk; clones share the content.
 #[derive(Clone, Debug)]
 pub struct FakeDisk {
     shared: Arc<Mutex<Content>>,
@@ -30,12 +30,13 @@
 struct Content {
     rng: ChaCha8Rng,
     files: Vec<File>,
-    /// Names as a running process sees them.
+    /// Names visible to a running process.
     names: BTreeMap<String, usize>,
     /// Names as of the last sync of the folder.
     durable: BTreeMap<String, usize>,
-    /// Changes of names since then.
+    /// Changes of names since the last sync of the folder.
     changes: Vec<Change>,
+    /// Armed fault and the operations left before it.
     countdown: Option<(u64, Fault)>,
     state: State,
     operations: u64,
@@ -56,14 +57,14 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
-    Works,
+    Working,
     Crashed,
     Failed,
     Full,
 }
 
 impl FakeDisk {
-    /// Builds an empty disk whose crashes are drawn from `seed`.
+    /// Creates an empty disk; `seed` determines what survives a crash.
     pub fn new(seed: u64) -> Self {
         Self {
             shared: Arc::new(Mutex::new(Content {
@@ -73,38 +74,38 @@
                 durable: BTreeMap::new(),
                 changes: Vec::new(),
                 countdown: None,
-                state: State::Works,
+                state: State::Working,
                 operations: 0,
             })),
         }
     }
 
-    /// Arms a fault for the operation after `operations` more ones.
+    /// Injects a fault into the writing operation after `operations` more ones.
     pub fn arm(&self, operations: u64, fault: Fault) {
         self.lock().countdown = Some((operations, fault));
     }
 
-    /// Takes back a fault that has not happened yet.
+    /// Cancels a fault that has not occurred yet.
     pub fn disarm(&self) {
         self.lock().countdown = None;
     }
 
-    /// Writing operations performed so far.
+    /// Returns the number of writing operations so far.
     pub fn operations(&self) -> u64 {
         self.lock().operations
     }
 
-    /// Whether an armed crash has happened.
+    /// Returns whether an injected crash has occurred.
     pub fn is_crashed(&self) -> bool {
         self.lock().state == State::Crashed
     }
 
-    /// Keeps what is durable, and of the rest what chance leaves; then works again.
+    /// Restarts after a crash: keeps durable data and a random part of the unsynced data.
     pub fn restart(&self) {
         self.lock().restart();
     }
 
-    /// Loses everything, as if the disk had been replaced.
+    /// Removes all files, as if the disk had been replaced.
     pub fn wipe(&self) {
         let mut content = self.lock();
         content.files.clear();
@@ -112,10 +113,10 @@
         content.durable.clear();
         content.changes.clear();
         content.countdown = None;
-        content.state = State::Works;
+        content.state = State::Working;
     }
 
-    /// Changes one byte of a file, as a failing medium would.
+    /// Corrupts the byte at offset `at` of a file.
     pub fn damage(&self, name: &str, at: usize) {
         let mut content = self.lock();
         let Some(file) = content.names.get(name).copied() else {
@@ -135,19 +136,19 @@
 }
 
 impl Content {
-    /// Counts a writing operation; returns whether it is the one to die in.
+    /// Counts a writing operation; returns whether the process crashes in it.
     fn count(&mut self) -> io::Result<bool> {
         self.operations += 1;
         match self.state {
-            State::Works => {}
+            State::Working => {}
             State::Full => return Err(io::Error::from(io::ErrorKind::StorageFull)),
-            State::Crashed | State::Failed => return Err(io::Error::other("the disk is gone")),
+            State::Crashed | State::Failed => return Err(io::Error::other("the disk has failed")),
         }
         match &mut self.countdown {
             Some((0, fault)) => {
                 let fault = *fault;
                 self.countdown = None;
-                self.trip(fault)
+                self.inject(fault)
             }
             Some((left, _)) => {
                 *left -= 1;
@@ -157,7 +158,7 @@
         }
     }
 
-    fn trip(&mut self, fault: Fault) -> io::Result<bool> {
+    fn inject(&mut self, fault: Fault) -> io::Result<bool> {
         match fault {
             Fault::Crash => {
                 self.state = State::Crashed;
@@ -183,13 +184,13 @@
         Ok(&mut self.files[number])
     }
 
-    fn set(&mut self, change: Change) {
+    fn change_name(&mut self, change: Change) {
         apply(&mut self.names, &change);
         self.changes.push(change);
     }
 
-    /// Frees the content of files that no name leads to.
-    fn forget_unnamed(&mut self) {
+    /// Frees the content of files without a name.
+    fn clear_unnamed(&mut self) {
         let named: BTreeSet<usize> = self.names.values().copied().collect();
         for (number, file) in self.files.iter_mut().enumerate() {
             if !named.contains(&number) {
@@ -211,24 +212,24 @@
         }
         self.names = self.durable.clone();
         self.countdown = None;
-        self.state = State::Works;
+        self.state = State::Working;
     }
 }
 
 impl File {
-    /// Keeps the durable bytes and an arbitrary part of what was written after them.
+    /// Keeps the durable bytes and a random part of the bytes written after them.
     fn tear(&mut self, rng: &mut ChaCha8Rng) {
         const SECTOR_BYTES: usize = 64;
         if self.data == self.durable {
             return;
         }
-        let shared = self.durable.len().min(self.data.len());
-        let grown = self.data.starts_with(&self.durable);
-        if grown && self.data.len() > shared {
-            let kept = rng.random_range(shared..=self.data.len());
+        let common = self.durable.len().min(self.data.len());
+        let appended = self.data.starts_with(&self.durable);
+        if appended && self.data.len() > common {
+            let kept = rng.random_range(common..=self.data.len());
             let mut torn = self.data[..kept].to_vec();
-            // Sectors of the unsynced part reach the disk in any order.
-            for sector in torn[shared..].chunks_mut(SECTOR_BYTES) {
+            // Unsynced sectors reach the disk in any order.
+            for sector in torn[common..].chunks_mut(SECTOR_BYTES) {
                 if rng.random_bool(0.3) {
                     sector.fill(0);
                 }
@@ -256,8 +257,8 @@
     }
 }
 
-fn gone() -> io::Error {
-    io::Error::other("the process died")
+fn crash_error() -> io::Error {
+    io::Error::other("the process crashed")
 }
 
 impl Disk for FakeDisk {
@@ -271,37 +272,37 @@
 
     fn create(&mut self, name: &str) -> io::Result<()> {
         let mut content = self.lock();
-        let dies = content.count()?;
+        let crashes = content.count()?;
         content.files.push(File::default());
         let number = content.files.len() - 1;
-        content.set(Change::Set(name.to_owned(), number));
-        if dies { Err(gone()) } else { Ok(()) }
+        content.change_name(Change::Set(name.to_owned(), number));
+        if crashes { Err(crash_error()) } else { Ok(()) }
     }
 
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
         let mut content = self.lock();
-        let dies = content.count()?;
-        let kept = if dies {
+        let crashes = content.count()?;
+        let kept = if crashes {
             content.rng.random_range(0..=bytes.len())
         } else {
             bytes.len()
         };
         content.file(name)?.data.extend_from_slice(&bytes[..kept]);
-        if dies { Err(gone()) } else { Ok(()) }
+        if crashes { Err(crash_error()) } else { Ok(()) }
     }
 
     fn truncate(&mut self, name: &str, size: u64) -> io::Result<()> {
         let mut content = self.lock();
-        let dies = content.count()?;
+        let crashes = content.count()?;
         let size = usize::try_from(size).unwrap_or(usize::MAX);
         content.file(name)?.data.truncate(size);
-        if dies { Err(gone()) } else { Ok(()) }
+        if crashes { Err(crash_error()) } else { Ok(()) }
     }
 
     fn sync(&mut self, name: &str) -> io::Result<()> {
         let mut content = self.lock();
         if content.count()? {
-            return Err(gone());
+            return Err(crash_error());
         }
         let file = content.file(name)?;
         file.durable = file.data.clone();
@@ -310,31 +311,31 @@
 
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()> {
         let mut content = self.lock();
-        let dies = content.count()?;
+        let crashes = content.count()?;
         let number = content
             .names
             .get(from)
             .copied()
             .ok_or_else(|| io::Error::from(io::ErrorKind::NotFound))?;
-        content.set(Change::Rename(from.to_owned(), to.to_owned(), number));
-        if dies { Err(gone()) } else { Ok(()) }
+        content.change_name(Change::Rename(from.to_owned(), to.to_owned(), number));
+        if crashes { Err(crash_error()) } else { Ok(()) }
     }
 
     fn remove(&mut self, name: &str) -> io::Result<()> {
         let mut content = self.lock();
-        let dies = content.count()?;
-        content.set(Change::Remove(name.to_owned()));
-        if dies { Err(gone()) } else { Ok(()) }
+        let crashes = content.count()?;
+        content.change_name(Change::Remove(name.to_owned()));
+        if crashes { Err(crash_error()) } else { Ok(()) }
     }
 
     fn sync_folder(&mut self) -> io::Result<()> {
         let mut content = self.lock();
         if content.count()? {
-            return Err(gone());
+            return Err(crash_error());
         }
         content.durable = content.names.clone();
         content.changes.clear();
-        content.forget_unnamed();
+        content.clear_unnamed();
         Ok(())
     }
 }
--- a/support/storage/src/folder.rs
+++ b/support/storage/src/folder.rs
@@ -1,4 +1,4 @@
-//! A folder of the real file system.
+//! Folder of the file system, locked against other processes.
 
 use std::collections::BTreeMap;
 use std::fs::{self, File, OpenOptions, TryLockError};
@@ -10,19 +10,19 @@
 /// Name of the lock file.
 const LOCK: &str = "lock";
 
-/// A folder that this process holds alone.
+/// Folder locked by this process.
 #[derive(Debug)]
 pub struct Folder {
     path: PathBuf,
     files: BTreeMap<String, File>,
-    /// Holds the lock until it is dropped.
+    /// Holds the lock until dropped.
     _lock: File,
 }
 
 impl Folder {
-    /// Opens the folder, creating it if needed, and takes its lock.
+    /// Opens the folder, creating it if needed, and acquires its lock.
     ///
-    /// Fails with [`io::ErrorKind::WouldBlock`] while another process holds it.
+    /// Fails with [`io::ErrorKind::WouldBlock`] while another process holds the lock.
     pub fn open<P>(path: P) -> io::Result<Self>
     where
         P: AsRef<Path>,
@@ -60,7 +60,7 @@
     }
 }
 
-/// Creates a folder and makes its name durable in its parent.
+/// Creates a folder and syncs its parent, so that its name is durable.
 fn create_durably(path: &Path) -> io::Result<()> {
     if path.is_dir() {
         return Ok(());
--- a/support/storage/src/lib.rs
+++ b/support/storage/src/lib.rs
@@ -2,23 +2,22 @@
 //!
 //! | file | content |
 //! |---|---|
-//! | `lock` | held while a process has the folder open |
+//! | `lock` | locked while a process has the folder open |
 //! | `state` | identity, term and vote |
 //! | `log-N` | segment N of the log: checksummed records |
-//! | `snapshot-I` | state of the machine after entry I |
+//! | `snapshot-I` | state of the machine after the entry at index I |
 //!
-//! `state` and snapshots are written under a temporary name, synced, renamed,
-//! and then the folder is synced; a temporary file that was left behind is
-//! dropped. Records are appended to the last segment. Each record says how much
-//! of its segment was synced when it was written, so that a broken record is
-//! known for what it is: a torn tail, which is cut, or damage to synced data,
-//! which is refused.
+//! `state` and snapshots are written to a temporary file, synced and renamed, and
+//! the folder is synced; leftover temporary files are removed on open. Records are
+//! appended to the last segment. Each record stores how many bytes of its segment
+//! were synced when it was written, which distinguishes a torn tail, which is
+//! truncated, from damage to synced data, which is an error.
 //!
-//! Damage to the very last synced records cannot be told from a torn tail, as
-//! nothing after them says that they were synced.
+//! Damage to the last synced records is indistinguishable from a torn tail, as no
+//! later record shows that they were synced.
 //!
-//! After any error the storage refuses further writes: what an operating system
-//! does with dirty pages after a failed sync is unknown.
+//! After any error the storage refuses further writes, as the state of dirty pages
+//! after a failed sync depends on the operating system.
 
 mod disk;
 mod error;
--- a/support/storage/src/record.rs
+++ b/support/storage/src/record.rs
@@ -1,14 +1,14 @@
-//! Checksummed records, the unit of every file.
+//! Checksummed records, of which all files consist.
 //!
 //! A record is the length of its body (4 bytes), the checksum of length and
 //! body (4 bytes), both little endian, and the body.
 
-/// Bytes before the body.
+/// Bytes of length and checksum before the body.
 pub(crate) const HEAD_BYTES: usize = 8;
-/// Largest body; a longer length can only be damage.
+/// Maximum body size; a greater length means damage.
 const MAX_BODY_BYTES: usize = 1 << 30;
 
-/// Appends the record of `body` to `out`.
+/// Encodes `body` as a record and appends it to `out`.
 pub(crate) fn encode(body: &[u8], out: &mut Vec<u8>) {
     let length = u32::try_from(body.len()).unwrap_or(u32::MAX).to_le_bytes();
     out.extend_from_slice(&length);
@@ -16,7 +16,7 @@
     out.extend_from_slice(body);
 }
 
-/// Returns the body of the record at the start of `bytes`, if it is whole.
+/// Returns the body of the record at the start of `bytes`, if it is complete and undamaged.
 pub(crate) fn decode(bytes: &[u8]) -> Option<&[u8]> {
     let length: [u8; 4] = bytes.get(..4)?.try_into().ok()?;
     let sum: [u8; 4] = bytes.get(4..HEAD_BYTES)?.try_into().ok()?;
--- a/support/storage/src/segment.rs
+++ b/support/storage/src/segment.rs
@@ -1,4 +1,4 @@
-//! Segments of the log: which records a file holds and where a torn tail starts.
+//! Log segments: encoding, names and detection of a torn tail.
 
 use pimentotide_consensus::{Entry, Index};
 use serde::{Deserialize, Serialize};
@@ -6,58 +6,58 @@
 use crate::StorageError;
 use crate::record;
 
-/// Start of the names of segments.
+/// Prefix of segment file names.
 const PREFIX: &str = "log-";
 
-/// Name of segment `number`.
+/// Returns the file name of segment `number`.
 pub(crate) fn name(number: u64) -> String {
     format!("{PREFIX}{number:016}")
 }
 
-/// Number in the name of a segment.
+/// Parses the number of a segment from its file name.
 pub(crate) fn number(name: &str) -> Option<u64> {
     name.strip_prefix(PREFIX)?.parse().ok()
 }
 
-/// Content of a record.
+/// Payload of a record.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum Content {
-    /// First record of a segment: the position that its first entry will have.
+    /// First record of a segment, with the index of its first entry.
     Start(Index),
-    /// An entry; it replaces all entries from its position on.
+    /// Log entry; replaces all earlier entries from its index on.
     Entry(Entry),
 }
 
-/// A record of a segment.
+/// Body of a record in a segment.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Body {
     /// Bytes of this segment that were synced when the record was written.
     pub(crate) synced: u64,
-    /// Content.
+    /// Payload.
     pub(crate) content: Content,
 }
 
-/// What a segment holds.
+/// Result of scanning a segment.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Scan {
-    /// Position in its first record; none if not even that is whole.
+    /// Index in its first record; `None` if that record is incomplete.
     pub(crate) start: Option<Index>,
-    /// Its entries in the order of writing.
+    /// Entries in the order in which they were written.
     pub(crate) entries: Vec<Entry>,
-    /// Bytes of whole records.
-    pub(crate) whole: u64,
-    /// Bytes of the file.
+    /// Bytes of complete records at the start of the file.
+    pub(crate) valid: u64,
+    /// Size of the file in bytes.
     pub(crate) size: u64,
 }
 
 impl Scan {
-    /// Whether something follows the whole records.
+    /// Returns whether bytes follow the complete records.
     pub(crate) fn is_torn(&self) -> bool {
-        self.whole < self.size
+        self.valid < self.size
     }
 }
 
-/// Encodes a record.
+/// Encodes a body as a record with length and checksum.
 pub(crate) fn encode(body: &Body) -> Result<Vec<u8>, StorageError> {
     let bytes = postcard::to_stdvec(body)
         .map_err(|e| StorageError::corrupt(format!("cannot encode a record: {e}")))?;
@@ -66,14 +66,14 @@
     Ok(out)
 }
 
-/// Reads the records of a segment up to the first that is not whole.
+/// Reads the records of a segment up to the first incomplete or damaged one.
 ///
-/// Fails if a later record proves that what is broken had been synced.
+/// Fails if a later record proves that the damaged bytes had been synced.
 pub(crate) fn scan(name: &str, bytes: &[u8]) -> Result<Scan, StorageError> {
     let mut scan = Scan {
         start: None,
         entries: Vec::new(),
-        whole: 0,
+        valid: 0,
         size: bytes.len() as u64,
     };
     let mut at = 0;
@@ -84,8 +84,8 @@
         }
         at += size;
     }
-    scan.whole = at as u64;
-    if proves_synced(&bytes[at..], scan.whole) {
+    scan.valid = at as u64;
+    if proves_synced(&bytes[at..], scan.valid) {
         return Err(StorageError::corrupt(format!(
             "{name}: the record at byte {at} is damaged, and a later one shows that it was synced"
         )));
@@ -99,7 +99,7 @@
     Some((body, raw.len() + record::HEAD_BYTES))
 }
 
-/// Whether a whole record in `tail` says that bytes beyond `offset` were synced.
+/// Returns whether a complete record in `tail` shows that bytes beyond `offset` were synced.
 fn proves_synced(tail: &[u8], offset: u64) -> bool {
     (1..tail.len()).any(|at| read(&tail[at..]).is_some_and(|(body, _)| body.synced > offset))
 }
--- a/support/storage/src/snapshot.rs
+++ b/support/storage/src/snapshot.rs
@@ -1,22 +1,22 @@
-//! Snapshot files.
+//! Snapshot files, each with one record.
 
 use pimentotide_consensus::{Index, Snapshot};
 
 use crate::{Disk, StorageError, record, state};
 
-/// Start of the names of snapshots.
+/// Prefix of snapshot file names.
 const PREFIX: &str = "snapshot-";
 
 fn name(index: Index) -> String {
     format!("{PREFIX}{:020}", index.0)
 }
 
-/// Position in the name of a complete snapshot.
+/// Parses the index of a complete snapshot from its file name.
 pub(crate) fn index(name: &str) -> Option<Index> {
     name.strip_prefix(PREFIX)?.parse().ok().map(Index)
 }
 
-/// Writes a snapshot durably.
+/// Writes and syncs a snapshot.
 pub(crate) fn write<D>(disk: &mut D, snapshot: &Snapshot) -> Result<(), StorageError>
 where
     D: Disk,
@@ -26,7 +26,7 @@
     state::replace(disk, &name(snapshot.meta.last.index), &body)
 }
 
-/// Reads the snapshot at `index`.
+/// Reads the snapshot at `index`, checking its checksum and index.
 pub(crate) fn read<D>(disk: &mut D, index: Index) -> Result<Snapshot, StorageError>
 where
     D: Disk,
@@ -42,7 +42,7 @@
         .ok_or_else(|| StorageError::corrupt(format!("{name} is damaged")))
 }
 
-/// Removes the snapshot at `index`.
+/// Removes the snapshot at `index`, without syncing the folder.
 pub(crate) fn remove<D>(disk: &mut D, index: Index) -> Result<(), StorageError>
 where
     D: Disk,
--- a/support/storage/src/state.rs
+++ b/support/storage/src/state.rs
@@ -1,13 +1,13 @@
-//! The file with identity, term and vote.
+//! State file, which stores the identity, term and vote.
 
 use pimentotide_consensus::HardState;
 
 use crate::{Disk, StorageError, record};
 
-/// Name of the file.
+/// Name of the state file.
 pub(crate) const NAME: &str = "state";
 
-/// Reads the state.
+/// Reads the state file, checking its checksum.
 pub(crate) fn read<D>(disk: &mut D) -> Result<HardState, StorageError>
 where
     D: Disk,
@@ -20,7 +20,7 @@
         .ok_or_else(|| StorageError::corrupt("the state file is damaged"))
 }
 
-/// Replaces the state durably.
+/// Replaces and syncs the state file.
 pub(crate) fn write<D>(disk: &mut D, state: &HardState) -> Result<(), StorageError>
 where
     D: Disk,
@@ -30,7 +30,7 @@
     replace(disk, NAME, &body)
 }
 
-/// Writes a file of one record under a temporary name and renames it.
+/// Atomically replaces a file by one record, using a temporary file.
 pub(crate) fn replace<D>(disk: &mut D, name: &str, body: &[u8]) -> Result<(), StorageError>
 where
     D: Disk,
@@ -38,15 +38,15 @@
     let temporary = format!("{name}{TEMPORARY}");
     let mut bytes = Vec::with_capacity(body.len() + record::HEAD_BYTES);
     record::encode(body, &mut bytes);
-    let mut written = || {
+    let mut write = || {
         disk.create(&temporary)?;
         disk.append(&temporary, &bytes)?;
         disk.sync(&temporary)?;
         disk.rename(&temporary, name)?;
         disk.sync_folder()
     };
-    written().map_err(|e| StorageError::io(&format!("cannot replace {name}"), &e))
+    write().map_err(|e| StorageError::io(&format!("cannot replace {name}"), &e))
 }
 
-/// End of the names of files that are not complete.
+/// Suffix of incomplete files.
 pub(crate) const TEMPORARY: &str = ".tmp";
--- a/support/storage/src/storage.rs
+++ b/support/storage/src/storage.rs
@@ -1,4 +1,4 @@
-//! Opening a data folder, recovering what it holds and writing to it.
+//! Opening, recovery and writing of a data folder.
 
 use std::collections::VecDeque;
 
@@ -12,41 +12,45 @@
 use crate::state::TEMPORARY;
 use crate::{Disk, StorageError, StorageErrorKind, snapshot, state};
 
-/// Size from which on a new segment is started, bytes.
+/// Size from which a new segment is started.
 const SEGMENT_BYTES: u64 = 4 << 20;
 
-/// Storage of one replica in one data folder.
+/// Storage of one replica in a data folder.
 #[derive(Debug)]
 pub struct Storage<D> {
     disk: D,
     segments: VecDeque<Segment>,
+    /// Number of the last segment.
     number: u64,
+    /// Bytes written to the last segment.
     written: u64,
+    /// Bytes synced of the last segment.
     synced: u64,
+    /// Index of the next entry.
     next: Index,
     snapshot: Option<Index>,
-    limit: u64,
+    segment_bytes: u64,
     poisoned: bool,
 }
 
-/// A segment with entries.
+/// A segment of the log.
 #[derive(Clone, Copy, Debug)]
 struct Segment {
     number: u64,
-    /// Highest position of any record in it.
+    /// Highest index of any record in it.
     highest: Index,
 }
 
-/// Storage that was opened, with what it held.
+/// Opened storage with its recovered state.
 #[derive(Debug)]
 pub struct Opened<D> {
     /// The storage, ready for writes.
     pub storage: Storage<D>,
-    /// What the folder held.
+    /// State recovered from the folder.
     pub recovered: Recovered,
-    /// Whether the folder was used for the first time.
+    /// Whether the folder had no state file and got a new identity.
     pub fresh: bool,
-    /// Bytes of a torn tail that were cut.
+    /// Bytes of the torn tail that were removed.
     pub truncated_bytes: u64,
 }
 
@@ -55,6 +59,8 @@
     D: Disk,
 {
     /// Opens the folder of the replica `name`; a new folder gets a random identity.
+    ///
+    /// Fails if synced data is damaged or missing, or if the folder belongs to another replica.
     pub fn open<R>(disk: D, name: &InstanceName, rng: &mut R) -> Result<Opened<D>, StorageError>
     where
         R: Rng,
@@ -62,18 +68,18 @@
         Self::open_with_limit(disk, name, rng, SEGMENT_BYTES)
     }
 
-    /// Opens the folder and starts new segments from `limit` bytes on.
+    /// Opens the folder with segments of `segment_bytes` bytes; see [`Storage::open`].
     pub fn open_with_limit<R>(
         mut disk: D,
         name: &InstanceName,
         rng: &mut R,
-        limit: u64,
+        segment_bytes: u64,
     ) -> Result<Opened<D>, StorageError>
     where
         R: Rng,
     {
-        let names = drop_temporary(&mut disk)?;
-        let (hard, fresh) = identify(&mut disk, &names, name, rng)?;
+        let names = remove_temporary(&mut disk)?;
+        let (hard, fresh) = load_state(&mut disk, &names, name, rng)?;
         let snapshot = newest_snapshot(&mut disk, &names)?;
         let at = snapshot.as_ref().map(|s| s.meta.last.index);
         let mut storage = Self {
@@ -84,7 +90,7 @@
             synced: 0,
             next: at.unwrap_or_default().next(),
             snapshot: at,
-            limit,
+            segment_bytes,
             poisoned: false,
         };
         let (entries, truncated_bytes) = storage.recover(&names, snapshot.as_ref())?;
@@ -100,7 +106,9 @@
         })
     }
 
-    /// Writes in the order of the tickets and syncs once; returns the last ticket.
+    /// Performs the writes in order and syncs once; returns the last ticket.
+    ///
+    /// After a failure all further writes fail with [`StorageErrorKind::Poisoned`].
     pub fn write<'a, I>(&mut self, writes: I) -> Result<Ticket, StorageError>
     where
         I: IntoIterator<Item = &'a Write>,
@@ -108,15 +116,15 @@
         if self.poisoned {
             return Err(StorageError::new(
                 StorageErrorKind::Poisoned,
-                "restart the replica once the disk works",
+                "restart the replica once the disk accepts writes",
             ));
         }
-        let done = self.write_all(writes);
-        self.poisoned = done.is_err();
-        done
+        let result = self.write_all(writes);
+        self.poisoned = result.is_err();
+        result
     }
 
-    /// Gives the disk back.
+    /// Closes the storage and returns its disk.
     pub fn into_disk(self) -> D {
         self.disk
     }
@@ -151,7 +159,7 @@
                 self.next.prev()
             )));
         }
-        if self.segments.is_empty() || self.written >= self.limit {
+        if self.segments.is_empty() || self.written >= self.segment_bytes {
             self.roll(first.id.index)?;
         }
         let mut bytes = Vec::new();
@@ -169,7 +177,7 @@
         Ok(())
     }
 
-    /// Starts a new segment once all of the last one is synced.
+    /// Syncs the last segment and starts a new one.
     fn roll(&mut self, first: Index) -> Result<(), StorageError> {
         self.sync()?;
         self.number += 1;
@@ -232,7 +240,7 @@
         Ok(())
     }
 
-    /// Removes all segments, the newest first, so that what is left has no gap.
+    /// Removes all segments, newest first, so that a crash leaves no gap.
     fn drop_log(&mut self) -> Result<(), StorageError> {
         while let Some(segment) = self.segments.pop_back() {
             self.remove_segment(segment.number)?;
@@ -244,7 +252,7 @@
         Ok(())
     }
 
-    /// Removes segments that a snapshot at `index` covers, the oldest first.
+    /// Removes the segments covered by a snapshot at `index`, oldest first.
     fn drop_covered(&mut self, index: Index) -> Result<(), StorageError> {
         while self.segments.len() > 1 && self.segments[0].highest <= index {
             let number = self.segments[0].number;
@@ -261,7 +269,9 @@
             .map_err(|e| StorageError::io(&format!("cannot remove {name}"), &e))
     }
 
-    /// Reads the segments, cuts a torn tail and returns the entries after the snapshot.
+    /// Reads the segments and truncates a torn tail.
+    ///
+    /// Returns the entries after the snapshot and the number of bytes removed.
     fn recover(
         &mut self,
         names: &[String],
@@ -270,7 +280,7 @@
         let numbers: Vec<u64> = names.iter().filter_map(|n| segment::number(n)).collect();
         let covered = snapshot.map(|s| s.meta.last.index).unwrap_or_default();
         let mut log: Vec<Entry> = Vec::new();
-        let mut cut = 0;
+        let mut removed = 0;
         for (at, number) in numbers.iter().enumerate() {
             let newest = at + 1 == numbers.len();
             let name = segment::name(*number);
@@ -281,13 +291,13 @@
             let scan = segment::scan(&name, &bytes)?;
             self.number = *number;
             if scan.is_torn() || scan.start.is_none() {
-                cut += self.cut_tail(&name, &scan, newest)?;
+                removed += self.truncate_tail(&name, &scan, newest)?;
             }
             let Some(start) = scan.start else {
                 continue;
             };
-            self.written = scan.whole;
-            self.synced = scan.whole;
+            self.written = scan.valid;
+            self.synced = scan.valid;
             join(&name, &mut log, start, &scan.entries, covered)?;
             let highest = scan.entries.iter().map(|e| e.id.index).max();
             self.segments.push_back(Segment {
@@ -296,37 +306,42 @@
             });
         }
         let entries = self.connect(log, snapshot)?;
-        Ok((entries, cut))
+        Ok((entries, removed))
     }
 
-    /// Cuts what follows the whole records of the newest segment.
-    fn cut_tail(&mut self, name: &str, scan: &Scan, newest: bool) -> Result<u64, StorageError> {
+    /// Removes the bytes after the complete records of the newest segment.
+    fn truncate_tail(
+        &mut self,
+        name: &str,
+        scan: &Scan,
+        newest: bool,
+    ) -> Result<u64, StorageError> {
         if !newest {
             return Err(StorageError::corrupt(format!(
                 "{name}: the record at byte {} is damaged, and later segments follow",
-                scan.whole
+                scan.valid
             )));
         }
         log::warn!(
-            "{name}: cut a torn tail of {} bytes",
-            scan.size - scan.whole
+            "{name}: removed a torn tail of {} bytes",
+            scan.size - scan.valid
         );
-        let done = match scan.start {
+        let result = match scan.start {
             Some(_) => self
                 .disk
-                .truncate(name, scan.whole)
+                .truncate(name, scan.valid)
                 .and_then(|()| self.disk.sync(name)),
-            // Nothing of this segment was ever synced.
+            // Without a complete first record nothing of the segment was synced.
             None => self
                 .disk
                 .remove(name)
                 .and_then(|()| self.disk.sync_folder()),
         };
-        done.map_err(|e| StorageError::io(&format!("cannot cut {name}"), &e))?;
-        Ok(scan.size - scan.whole)
+        result.map_err(|e| StorageError::io(&format!("cannot truncate {name}"), &e))?;
+        Ok(scan.size - scan.valid)
     }
 
-    /// Keeps the entries that follow the snapshot, or drops a log that does not reach it.
+    /// Returns the entries after the snapshot; removes a log that does not connect to it.
     fn connect(
         &mut self,
         log: Vec<Entry>,
@@ -340,12 +355,12 @@
                 last.index
             )));
         }
-        let held = log.iter().find(|e| e.id.index == last.index);
-        let reaches = match held {
+        let covered = log.iter().find(|e| e.id.index == last.index);
+        let connects = match covered {
             Some(entry) => entry.id == last,
             None => first.is_none_or(|first| first == last.index.next()),
         };
-        if !reaches {
+        if !connects {
             self.drop_log()?;
             self.next = last.index.next();
             return Ok(Vec::new());
@@ -360,7 +375,7 @@
     }
 }
 
-/// Adds the records of the next segment to the log.
+/// Appends the entries of the next segment to the log.
 fn join(
     name: &str,
     log: &mut Vec<Entry>,
@@ -375,7 +390,7 @@
                 "{name}: entries before {start} are missing"
             )));
         }
-        // The missing segments were removed for the snapshot.
+        // The snapshot covers the missing segments.
         log.clear();
     }
     for entry in entries {
@@ -391,8 +406,8 @@
     Ok(())
 }
 
-/// Removes files that were not completed and returns the names of the others.
-fn drop_temporary<D>(disk: &mut D) -> Result<Vec<String>, StorageError>
+/// Removes incomplete files and returns the names of the others.
+fn remove_temporary<D>(disk: &mut D) -> Result<Vec<String>, StorageError>
 where
     D: Disk,
 {
@@ -409,8 +424,8 @@
     Ok(names)
 }
 
-/// Reads the identity, or makes one for a folder that holds nothing.
-fn identify<D, R>(
+/// Reads the state file, or creates it with a random identity in an unused folder.
+fn load_state<D, R>(
     disk: &mut D,
     names: &[String],
     name: &InstanceName,
@@ -425,7 +440,7 @@
         if hard.identity.name != *name {
             return Err(StorageError::new(
                 StorageErrorKind::Foreign,
-                format!("it belongs to {}, not to {name}", hard.identity.name),
+                format!("found {}, expected {name}", hard.identity.name),
             ));
         }
         return Ok((hard, false));
@@ -433,7 +448,7 @@
     let used = |n: &&String| segment::number(n).is_some() || snapshot::index(n).is_some();
     if let Some(found) = names.iter().find(used) {
         return Err(StorageError::corrupt(format!(
-            "the state file is missing, yet {found} exists"
+            "the state file is missing, but {found} exists"
         )));
     }
     let hard = HardState::fresh(Identity {
--- a/support/storage/tests/it/crash.rs
+++ b/support/storage/tests/it/crash.rs
@@ -1,11 +1,11 @@
-//! A crash at every writing operation: what was acknowledged is there afterwards.
+//! Crashes at every writing operation must not lose synced data.
 
 use pimentotide_storage::StorageErrorKind;
 use pimentotide_storage::fake::{FakeDisk, Fault};
 
 use crate::script::{Expected, open, script};
 
-/// Writes as much of the script as the disk takes; returns how many writes were synced.
+/// Performs the script until a write fails; returns the number of synced writes.
 fn run(disk: &FakeDisk) -> usize {
     let Ok(mut opened) = open(disk.clone()) else {
         return 0;
@@ -23,7 +23,7 @@
     disk.operations()
 }
 
-/// The recovered state is that after the synced writes, or a part of the next one further.
+/// Checks that the recovered state contains the synced writes and at most a part of the next one.
 fn check(disk: &FakeDisk, synced: usize, case: &str) {
     let opened = open(disk.clone()).unwrap_or_else(|e| panic!("{case}: {e}"));
     let found = Expected::of(&opened.recovered);
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn a_crash_at_any_operation_loses_nothing_that_was_synced() {
+fn crash_at_any_operation_loses_no_synced_data() {
     for at in 0..operations() {
         for seed in 0..40 {
             let disk = FakeDisk::new(seed);
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn a_second_crash_during_recovery_loses_nothing_either() {
+fn second_crash_during_recovery_loses_no_synced_data() {
     for at in 0..operations() {
         for seed in 0..6 {
             for second in 0..4 {
@@ -82,7 +82,7 @@
                 let synced = run(&disk);
                 disk.restart();
                 disk.arm(second, Fault::Crash);
-                // The second crash may come too late to hit the recovery.
+                // Recovery may finish before the operation of the second crash.
                 let _ = open(disk.clone());
                 disk.restart();
                 let case = format!("operation {at}, seed {seed}, second {second}");
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn a_fresh_folder_keeps_one_identity_whenever_it_crashes() {
+fn fresh_folder_keeps_its_identity_after_a_crash() {
     for at in 0..6 {
         for seed in 0..40 {
             let disk = FakeDisk::new(seed);
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn a_full_or_failed_disk_is_reported_and_never_written_again() {
+fn full_or_failed_disk_is_reported_and_not_written_again() {
     for (fault, kind) in [
         (Fault::Fill, StorageErrorKind::Full),
         (Fault::Fail, StorageErrorKind::Failed),
--- a/support/storage/tests/it/damage.rs
+++ b/support/storage/tests/it/damage.rs
@@ -1,11 +1,11 @@
-//! Damage to synced data is refused; a torn tail and unfinished files are cut.
+//! Damage to synced data is an error; a torn tail and incomplete files are removed.
 
 use pimentotide_storage::fake::FakeDisk;
 use pimentotide_storage::{Disk, StorageErrorKind};
 
 use crate::script::{Expected, open, script};
 
-/// A disk after the first `count` writes of the script.
+/// Returns a disk after the first `count` writes of the script.
 fn written(count: usize) -> FakeDisk {
     let disk = FakeDisk::new(5);
     let mut opened = open(disk.clone()).unwrap();
@@ -16,14 +16,14 @@
     disk
 }
 
-fn refusal(disk: FakeDisk) -> String {
+fn open_error(disk: FakeDisk) -> String {
     let error = open(disk).unwrap_err();
     assert_eq!(error.kind, StorageErrorKind::Corrupt);
     error.to_string()
 }
 
 #[test]
-fn damage_is_named_with_its_file() {
+fn damage_error_names_the_file() {
     let middle = written(3);
     middle.damage("log-0000000000000001", 60);
     let newer = written(5);
@@ -39,33 +39,33 @@
     gap.remove("log-0000000000000002").unwrap();
     insta::assert_debug_snapshot!((
         names,
-        refusal(middle),
-        refusal(newer),
-        refusal(state),
-        refusal(snapshot),
-        refusal(unnamed),
-        refusal(gap),
+        open_error(middle),
+        open_error(newer),
+        open_error(state),
+        open_error(snapshot),
+        open_error(unnamed),
+        open_error(gap),
     ));
 }
 
 #[test]
-fn every_damaged_byte_of_a_sealed_segment_is_noticed() {
+fn every_damaged_byte_of_a_completed_segment_is_detected() {
     let size = written(5).read("log-0000000000000001").unwrap().len();
     for at in 0..size {
         let disk = written(5);
         disk.damage("log-0000000000000001", at);
-        refusal(disk);
+        open_error(disk);
     }
 }
 
 #[test]
-fn a_torn_tail_of_any_length_is_cut() {
+fn torn_tail_of_any_length_is_removed() {
     let mut whole = written(2);
     let expected = Expected::of(&open(whole.clone()).unwrap().recovered);
     let newest = whole.clone().list().unwrap();
     let newest = newest.iter().rfind(|n| n.starts_with("log-")).unwrap();
     let record = whole.read(newest).unwrap();
-    // The first record of a segment is short; what follows it is longer than the tails.
+    // The first record of a segment is short; the next one is longer than the tails.
     let start = 11;
     for length in 1..30 {
         let mut disk = written(2);
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn a_half_written_snapshot_is_ignored() {
+fn incomplete_snapshot_is_ignored() {
     let mut disk = written(4);
     let expected = Expected::of(&open(disk.clone()).unwrap().recovered);
     let temporary = "snapshot-00000000000000000012.tmp";
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn a_vanished_disk_comes_back_as_another() {
+fn wiped_disk_gets_a_new_identity() {
     let disk = written(4);
     let before = open(disk.clone()).unwrap().recovered.hard.identity;
     disk.wipe();
--- a/support/storage/tests/it/script.rs
+++ b/support/storage/tests/it/script.rs
@@ -1,4 +1,4 @@
-//! Writes as a replica would make them, and what they should leave behind.
+//! A script of writes as a replica performs them, and the state expected afterwards.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -13,8 +13,8 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-/// Small enough that the script fills several segments.
-pub(crate) const LIMIT: u64 = 300;
+/// Segment size, small enough that the script fills several segments.
+pub(crate) const SEGMENT_BYTES: u64 = 300;
 
 pub(crate) fn name() -> InstanceName {
     InstanceName::from("accra-a-1")
@@ -22,7 +22,7 @@
 
 pub(crate) fn open(disk: FakeDisk) -> Result<Opened<FakeDisk>, StorageError> {
     let mut rng = ChaCha8Rng::seed_from_u64(1);
-    Storage::open_with_limit(disk, &name(), &mut rng, LIMIT)
+    Storage::open_with_limit(disk, &name(), &mut rng, SEGMENT_BYTES)
 }
 
 pub(crate) fn entry(index: u64, term: u64) -> Entry {
@@ -54,7 +54,7 @@
     }
 }
 
-/// A run with overwritten entries, compaction, and a snapshot from a leader.
+/// Returns writes with overwritten entries, compaction and a snapshot from a leader.
 pub(crate) fn script(hard: &HardState) -> Vec<Write> {
     let in_term = |term| {
         Some(HardState {
@@ -111,7 +111,7 @@
     writes
 }
 
-/// What a folder should hold.
+/// Expected state of a folder.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(crate) struct Expected {
     pub(crate) term: Term,
