--- a/decision/experts/src/even/change.rs
+++ b/decision/experts/src/even/change.rs
@@ -1,15 +1,15 @@
-//! Difference between two placements, for links that are too narrow for whole ones.
+//! Difference between two placements, sent over links too slow for a whole placement.
 
 use serde::{Deserialize, Serialize};
 
 use super::Placement;
 
-/// Identity of a placement by its content.
+/// Content hash of a placement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PlacementId([u8; 8]);
 
 impl PlacementId {
-    /// Computes the identity of a placement.
+    /// Hashes the experts of all layers and ranks.
     pub fn of(placement: &Placement) -> Self {
         let mut hasher = blake3::Hasher::new();
         for ranks in placement {
@@ -27,7 +27,7 @@
     }
 }
 
-/// Experts of one rank in one layer that differ.
+/// New experts of one rank in one layer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct RankChange {
     layer: u16,
@@ -35,7 +35,7 @@
     experts: Vec<u16>,
 }
 
-/// What turns one placement into another.
+/// Ranks whose experts differ between two placements, and the hashes of both.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PlacementChange {
     base: PlacementId,
@@ -44,19 +44,19 @@
 }
 
 impl PlacementChange {
-    /// Compares two placements; none if they differ in layers or ranks.
+    /// Returns the change from `old` to `new`; `None` if their layers or ranks differ in number.
     pub fn between(old: &Placement, new: &Placement) -> Option<Self> {
         if old.len() != new.len() {
             return None;
         }
-        let mut changed = Vec::new();
+        let mut changes = Vec::new();
         for (layer, (old, new)) in old.iter().zip(new).enumerate() {
             if old.len() != new.len() {
                 return None;
             }
             for (rank, (old, new)) in old.iter().zip(new).enumerate() {
                 if old != new {
-                    changed.push(RankChange {
+                    changes.push(RankChange {
                         layer: u16::try_from(layer).ok()?,
                         rank: u16::try_from(rank).ok()?,
                         experts: new.clone(),
@@ -67,11 +67,11 @@
         Some(Self {
             base: PlacementId::of(old),
             result: PlacementId::of(new),
-            ranks: changed,
+            ranks: changes,
         })
     }
 
-    /// Applies the change; none if `old` is not what it was made from.
+    /// Applies the change; `None` if `old` is not the placement it was computed from.
     pub fn apply(&self, old: &Placement) -> Option<Placement> {
         if PlacementId::of(old) != self.base {
             return None;
--- a/decision/experts/src/even/demand.rs
+++ b/decision/experts/src/even/demand.rs
@@ -1,16 +1,16 @@
-//! Which experts have been in demand lately, added up over the ranks.
+//! Recent demand for experts, summed over the ranks.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
 use pimentotide_model::Time;
 
-/// Time over which choices count; demand moves within seconds.
+/// Length of the sliding window; demand shifts within seconds.
 const WINDOW: Duration = Duration::from_millis(1_200);
-/// Fewest choices that a plan is made from, for each expert.
-const LEAST_CHOICES: f64 = 200.0;
+/// Mean number of choices per expert below which no plan is made.
+const MIN_CHOICES_PER_EXPERT: f64 = 200.0;
 
-/// Choices of the last while.
+/// Expert choices within a sliding window.
 #[derive(Debug, Default)]
 pub struct ExpertDemand {
     recent: VecDeque<(Time, Vec<f64>)>,
@@ -18,7 +18,7 @@
 }
 
 impl ExpertDemand {
-    /// Takes in what ranks have chosen since they were last asked, layer after layer.
+    /// Adds the choices of ranks since their previous sample, layer after layer.
     pub fn observe<'a, I>(&mut self, ranks: I, now: Time)
     where
         I: IntoIterator<Item = &'a [u32]>,
@@ -41,17 +41,17 @@
         }
     }
 
-    /// Experts of all layers, as far as they are known.
+    /// Number of experts over all layers, from the longest sample so far.
     pub fn len(&self) -> usize {
         self.len
     }
 
-    /// Whether nothing is known.
+    /// Whether no counts have been observed yet.
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
 
-    /// Choices of each expert, layer after layer; none if there are too few.
+    /// Choices of each expert within the window, layer after layer; `None` if too few for a plan.
     pub fn counts(&self) -> Option<Vec<f64>> {
         let mut sum: Vec<f64> = Vec::new();
         for (_, counts) in &self.recent {
@@ -60,22 +60,22 @@
                 *sum += count;
             }
         }
-        is_enough(&sum).then_some(sum)
+        has_enough_choices(&sum).then_some(sum)
     }
 
-    /// Choices since the last look but one; none if there are too few.
+    /// Choices in the newest sample alone; `None` if too few for a plan.
     pub fn newest(&self) -> Option<&[f64]> {
         let (_, counts) = self.recent.back()?;
-        is_enough(counts).then_some(&counts[..])
+        has_enough_choices(counts).then_some(&counts[..])
     }
 
-    /// Starts a new window, as after a change of the map or of the group.
+    /// Discards the window, after a change of the expert map or of the group.
     pub fn restart(&mut self) {
         self.recent.clear();
     }
 }
 
-fn is_enough(counts: &[f64]) -> bool {
+fn has_enough_choices(counts: &[f64]) -> bool {
     let total: f64 = counts.iter().sum();
-    total > 0.0 && total >= LEAST_CHOICES * counts.len() as f64
+    total > 0.0 && total >= MIN_CHOICES_PER_EXPERT * counts.len() as f64
 }
--- a/decision/experts/src/even/mod.rs
+++ b/decision/experts/src/even/mod.rs
@@ -1,9 +1,9 @@
-//! Placement for engines that share an expert's tokens evenly among its holders.
+//! Placement for engines that split an expert's tokens evenly among its holders.
 //!
-//! The time of a step is the sum over layers of the most loaded rank's part, so
-//! each layer is improved by itself: the most loaded rank hands an expert on, or
-//! shares it with another rank, as long as that lowers the load. A rank can take
-//! over only a few new experts in one change, so a large drift of popularity
+//! The time of a step is the sum over layers of the most loaded rank's time, so
+//! each layer is optimised by itself: the most loaded rank moves an expert to
+//! another rank or shares it with one, as long as that lowers the load. A rank
+//! can receive only a few new experts per change, so a large shift of popularity
 //! takes several changes, the most useful first.
 
 mod change;
@@ -21,39 +21,40 @@
 };
 pub use switch::{Ending, Ranks, Switch};
 
-/// Sizes of a group whose experts are placed.
+/// Dimensions of a group and limits on its placements.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EvenLayout {
-    /// Ranks.
+    /// Number of ranks in the group.
     pub ranks: usize,
     /// Experts in each layer.
     pub experts: usize,
-    /// Experts that a rank holds in each layer, at most.
+    /// Maximum number of experts that a rank holds in each layer.
     pub places: usize,
-    /// Experts new to a rank in each layer in one change, at most.
+    /// Maximum number of experts new to a rank in each layer per change.
     pub spare: usize,
 }
 
-/// Experts by layer and rank.
+/// Experts held, by layer and rank.
 pub type Placement = Vec<Vec<Vec<u16>>>;
 
-/// A better placement, and what it is worth.
+/// Improved placement, and the imbalance before and after.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EvenPlan {
-    /// Placement.
+    /// Placement to switch to.
     pub placement: Placement,
-    /// Most loaded rank over the mean before, averaged over layers.
+    /// Load of the most loaded rank relative to the mean, averaged over layers, before the change.
     pub before: f64,
-    /// Most loaded rank over the mean after, averaged over layers.
+    /// The same after the change.
     pub after: f64,
-    /// Copies of experts to be made.
+    /// Number of expert copies that ranks have to receive.
     pub copies: usize,
 }
 
-/// Improves a placement for the given popularity, `counts` layer after layer.
+/// Improves a placement for the popularity in `counts`, layer after layer.
 ///
-/// A layer is left as it is once its most loaded rank is within `goal` times the
-/// mean: each further copy costs more than it saves. Layers without counts stay.
+/// A layer is not changed further once its most loaded rank is within `goal` times
+/// the mean: each further copy costs more than it saves. Layers whose counts are
+/// all zero stay unchanged.
 pub fn plan_even(layout: &EvenLayout, current: &Placement, counts: &[f64], goal: f64) -> EvenPlan {
     let mut plan = EvenPlan {
         placement: Vec::with_capacity(current.len()),
@@ -76,7 +77,7 @@
     plan
 }
 
-/// Most loaded rank over the mean, averaged over layers.
+/// Load of the most loaded rank relative to the mean, averaged over layers.
 pub fn imbalance_even(layout: &EvenLayout, placement: &Placement, counts: &[f64]) -> f64 {
     let loads = counts.chunks(layout.experts.max(1));
     let layers = placement.iter().zip(loads);
--- a/decision/experts/src/even/rank.rs
+++ b/decision/experts/src/even/rank.rs
@@ -1,60 +1,60 @@
-//! A rank whose engine carries out orders about its expert map, and what it tells.
+//! Reports of the engine of a rank, and orders about its expert map.
 
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
 
-/// Place of an engine in its group.
+/// Rank of an engine in its group.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Membership {
-    /// Group.
+    /// Name of the group.
     pub group: String,
-    /// Number of times that the group was formed.
+    /// Number of times that the group has been formed.
     pub epoch: u64,
-    /// Rank.
+    /// Rank of the engine, from 0.
     pub rank: u16,
-    /// Whether the group runs.
+    /// Whether the group is running.
     pub open: bool,
 }
 
-/// What an engine reports of itself.
+/// State of an engine, as it reports it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EngineReport {
-    /// Place in its group, if it is in one.
+    /// Rank in its group; `None` outside a group.
     pub membership: Option<Membership>,
-    /// Ranks of the group.
+    /// Number of ranks in the group.
     pub size: u16,
-    /// Start of the engine, ms of the Unix epoch.
+    /// Start time of the engine, ms since the Unix epoch.
     pub born: u64,
-    /// Requests that run.
+    /// Number of running requests.
     pub running: u32,
-    /// Requests that wait.
+    /// Number of waiting requests.
     pub waiting: u32,
-    /// Tokens held in memory.
+    /// Tokens cached in memory.
     pub used: u64,
-    /// Tokens that fit into the memory.
+    /// Capacity of the memory, tokens.
     pub memory: u64,
-    /// Time of its work relative to an ordinary engine.
+    /// Time per unit of work relative to an engine of normal speed.
     pub pace: f64,
-    /// Orders accepted since the start.
+    /// Number of orders accepted since the start.
     pub sequence: u64,
     /// Last pass begun.
     pub step: u64,
     /// Version of the expert map in use.
     pub map: u64,
-    /// Version whose experts are in place.
+    /// Map version whose experts are loaded.
     pub prepared: Option<u64>,
-    /// Version that it will switch to.
+    /// Map version to switch to at a coming pass.
     pub armed: Option<u64>,
-    /// Pass that is held back.
+    /// Pass that is held.
     pub held: Option<u64>,
 }
 
-/// How often a rank's requests chose each expert since its start.
+/// Number of times that a rank's requests chose each expert since its start.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PickedExperts {
     /// Epoch of the group.
     pub epoch: u64,
-    /// Times chosen, layer after layer.
+    /// Choices by expert, layer after layer.
     pub counts: Vec<u64>,
 }
 
@@ -67,10 +67,10 @@
     pub experts: Vec<Vec<u16>>,
 }
 
-/// Order to an engine about its expert map.
+/// Order to an engine about its expert map or its next pass.
 #[derive(Clone, Debug, Display, PartialEq, Eq, Serialize, Deserialize)]
 pub enum EngineOrder {
-    /// Copies the experts that the map needs here.
+    /// Loads the experts that the map places on this rank.
     #[display("prepare {version}")]
     Prepare {
         /// Version of the map.
@@ -78,7 +78,7 @@
         /// Experts by layer and rank.
         experts: Vec<Vec<Vec<u16>>>,
     },
-    /// Switches to a prepared map as a pass begins.
+    /// Switches to a prepared map when a pass begins.
     #[display("arm {version} at {step}")]
     Arm {
         /// Version of the map.
@@ -86,19 +86,19 @@
         /// Pass.
         step: u64,
     },
-    /// Takes an arming back.
+    /// Cancels an `Arm` order.
     #[display("disarm {version}")]
     Disarm {
         /// Version of the map.
         version: u64,
     },
-    /// Keeps the group from beginning a pass.
+    /// Prevents the group from beginning a pass.
     #[display("hold {step}")]
     Hold {
         /// Pass.
         step: u64,
     },
-    /// Lets the group begin a pass that is held back.
+    /// Releases a pass that is held.
     #[display("go {step}")]
     Go {
         /// Pass.
@@ -106,27 +106,27 @@
     },
 }
 
-/// An order with what protects it from being carried out in another state.
+/// Order with the epoch and fencing token that guard against late delivery.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FencedOrder {
     /// Order.
     pub order: EngineOrder,
-    /// Epoch of the group that it is meant for.
+    /// Epoch of the group; an engine in another epoch refuses the order.
     pub epoch: u64,
-    /// Fencing number; an engine that has seen a higher one refuses.
+    /// Fencing token; an engine that has received a higher one rejects the order.
     pub fence: u64,
 }
 
-/// Answer to an order.
+/// Response of an engine to an order.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Serialize, Deserialize)]
 pub enum OrderAnswer {
-    /// It has begun, or what it asks for holds.
+    /// The order is in progress, or its effect is already in place.
     #[display("accepted")]
     Accepted,
-    /// It does not fit the engine's state.
+    /// The order does not fit the state of the engine.
     #[display("refused")]
     Refused,
-    /// A higher fencing number was seen.
+    /// The engine has received a higher fencing token.
     #[display("fenced")]
     Fenced,
 }
--- a/decision/experts/src/even/switch.rs
+++ b/decision/experts/src/even/switch.rs
@@ -1,23 +1,23 @@
-//! Moves all ranks of a group from one expert map to another between two passes.
+//! Switches all ranks of a group from one expert map to another between two passes.
 //!
 //! No pass may begin while two ranks use different maps, although any order may
-//! stay unanswered and be carried out seconds later. The order of steps:
+//! stay unanswered and take effect seconds later. The protocol:
 //!
 //! 1. Every rank prepares the map. Its version is higher than any before and is
-//!    the fencing number of all orders of the switch, so an order of an earlier
-//!    switch is refused from here on.
-//! 2. The own rank holds back a pass that has not begun. Until it lets go, that
-//!    pass begins nowhere.
+//!    the fencing token of all orders of the switch, so orders of an earlier
+//!    switch are rejected from here on.
+//! 2. Rank 0 holds a pass that has not begun. Until the pass is released, it
+//!    begins on no rank.
 //! 3. Every rank is armed for that pass.
-//! 4. If all have confirmed, the pass is let go: all switch as it begins.
-//! 5. Otherwise the pass is held back again under a newer version, which shuts
-//!    older coordinators out, and every rank is disarmed and prepares the old map
-//!    under that version. An arming still under way then names a version that is no longer
-//!    prepared and a fencing number that is too low, so it can not be carried
-//!    out any more. Only when all have confirmed is the pass let go.
+//! 4. If all have confirmed, the pass is released and all switch when it begins.
+//! 5. Otherwise the pass is held again under a newer version, which fences off
+//!    older coordinators, and every rank is disarmed and prepares the old map
+//!    under that version. A delayed `Arm` order then names a version that is no
+//!    longer prepared and carries an outdated fencing token, so it has no effect.
+//!    The pass is released only when all ranks have confirmed.
 //!
-//! Each order names the epoch of the group. If a rank is lost the group is
-//! formed anew with the first map and nothing armed or held.
+//! Each order names the epoch of the group. When a rank is lost, the group is
+//! formed again with the initial map, and nothing is armed or held.
 
 use std::future::Future;
 use std::time::Duration;
@@ -27,72 +27,72 @@
 
 use super::{EngineOrder, EngineReport, FencedOrder, OrderAnswer, Placement};
 
-/// Rank of the coordinator, which holds passes back.
-const OWN: usize = 0;
-/// Passes between the last one begun and the one that is held back.
-const LEAD: u64 = 3;
-/// Attempts to hold a pass back before it begins.
-const HOLD_ATTEMPTS: u32 = 3;
-/// Attempts to have an order answered by all ranks.
-const ORDER_ATTEMPTS: u32 = 3;
-/// Pause between attempts.
-const PAUSE: Duration = Duration::from_millis(40);
-/// Looks whether all experts are in place, before a map is given up.
-const PREPARE_LOOKS: u32 = 60;
-/// Pause between these looks.
-const PREPARE_PAUSE: Duration = Duration::from_millis(80);
-/// Attempts to undo a switch before the coordinator starts over.
-const UNDO_ATTEMPTS: u32 = 200;
+/// Rank of the coordinator, which holds passes.
+const COORDINATOR_RANK: usize = 0;
+/// Distance from the last pass begun to the pass that is held.
+const PASS_LEAD: u64 = 3;
+/// Attempts to hold a pass before it begins.
+const MAX_HOLD_ATTEMPTS: u32 = 3;
+/// Attempts to get an order accepted by all ranks.
+const MAX_ORDER_ATTEMPTS: u32 = 3;
+/// Delay between attempts.
+const RETRY_INTERVAL: Duration = Duration::from_millis(40);
+/// Polls for loaded experts before the map is abandoned.
+const MAX_PREPARE_POLLS: u32 = 60;
+/// Delay between these polls.
+const PREPARE_POLL_INTERVAL: Duration = Duration::from_millis(80);
+/// Attempts at each step of an undo or release before the coordinator starts over.
+const MAX_UNDO_ATTEMPTS: u32 = 200;
 
 /// Ranks of one group.
 pub trait Ranks {
-    /// Number of ranks.
+    /// Number of ranks in the group.
     fn size(&self) -> usize;
 
-    /// Report of a rank, if it answers.
+    /// Requests the report of a rank; `None` if it does not answer.
     fn report(&self, rank: usize) -> impl Future<Output = Option<EngineReport>>;
 
-    /// Gives an order; none if it is not known whether it was or will be carried out.
+    /// Sends an order; `None` if the outcome is unknown, as it may still take effect later.
     fn order(&self, rank: usize, order: FencedOrder) -> impl Future<Output = Option<OrderAnswer>>;
 
-    /// Waits.
+    /// Sleeps for `length`.
     fn pause(&self, length: Duration) -> impl Future<Output = ()>;
 }
 
-/// How a switch ended.
+/// Outcome of a switch.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum Ending {
     /// All ranks switch at this pass.
     #[display("switching at pass {_0}")]
     Switched(u64),
-    /// A rank did not take the map or did not get its experts in time.
+    /// A rank refused the map or did not load its experts in time.
     #[display("not prepared")]
     NotPrepared,
-    /// No pass could be held back.
+    /// No pass could be held.
     #[display("not held")]
     NotHeld,
-    /// Not all ranks could be armed; all were disarmed.
+    /// Not all ranks could be armed; all were disarmed and the old map is in use.
     #[display("undone")]
     Undone,
-    /// The group was formed anew, or could not be reached.
+    /// The undo failed: the group was formed again, was unreachable or has a newer coordinator.
     #[display("given up")]
     GivenUp,
 }
 
-/// Maps of a switch.
+/// Switch of a group from one map to another.
 #[derive(Clone, Debug)]
 pub struct Switch {
-    /// Epoch of the group.
+    /// Epoch of the group that all orders are fenced to.
     pub epoch: u64,
-    /// Version of the new map; the next one is used to undo it.
+    /// Version of the new map; `version + 1` is used to undo the switch.
     pub version: u64,
-    /// Map in use.
+    /// Map in use, restored if the switch fails.
     pub old: Placement,
-    /// Map to use.
+    /// Map to switch to.
     pub new: Placement,
 }
 
-/// Experts by layer and rank, in the order that engines expect.
+/// Returns the order to prepare `placement`, by layer and rank as engines expect it.
 fn prepare(version: u64, placement: &Placement) -> EngineOrder {
     EngineOrder::Prepare {
         version,
@@ -109,7 +109,7 @@
         }
     }
 
-    /// Carries the switch out.
+    /// Runs the protocol to its outcome.
     pub async fn run<R>(&self, ranks: &R) -> Ending
     where
         R: Ranks,
@@ -118,10 +118,10 @@
             return Ending::NotPrepared;
         }
         let step = match self.hold(ranks).await {
-            Held::At(step) => step,
-            Held::No => return Ending::NotHeld,
-            Held::Unknown(step) => {
-                self.let_go(ranks, step).await;
+            HoldOutcome::Held(step) => step,
+            HoldOutcome::NotHeld => return Ending::NotHeld,
+            HoldOutcome::Unknown(step) => {
+                self.release(ranks, step).await;
                 return Ending::NotHeld;
             }
         };
@@ -130,10 +130,10 @@
             step,
         };
         if self.order_all(ranks, &arm).await {
-            self.let_go(ranks, step).await;
+            self.release(ranks, step).await;
             return Ending::Switched(step);
         }
-        self.back().undo(ranks, step).await
+        self.rollback().undo(ranks, step).await
     }
 
     async fn prepare_all<R>(&self, ranks: &R) -> bool
@@ -144,104 +144,107 @@
         if !self.order_all(ranks, &order).await {
             return false;
         }
-        let mut open: Vec<usize> = (0..ranks.size()).collect();
-        for _ in 0..PREPARE_LOOKS {
-            ranks.pause(PREPARE_PAUSE).await;
-            let reports = join_all(open.iter().map(|rank| ranks.report(*rank))).await;
-            if reports.iter().flatten().any(|r| self.is_over(r)) {
+        let mut pending: Vec<usize> = (0..ranks.size()).collect();
+        for _ in 0..MAX_PREPARE_POLLS {
+            ranks.pause(PREPARE_POLL_INTERVAL).await;
+            let reports = join_all(pending.iter().map(|rank| ranks.report(*rank))).await;
+            if reports.iter().flatten().any(|r| self.is_stale(r)) {
                 return false;
             }
-            let lacks = |r: &Option<EngineReport>| {
+            let is_unprepared = |r: &Option<EngineReport>| {
                 r.as_ref().is_none_or(|r| r.prepared != Some(self.version))
             };
-            let left = open.iter().zip(&reports).filter(|(_, r)| lacks(r));
-            open = left.map(|(rank, _)| *rank).collect();
-            if open.is_empty() {
+            let remaining = pending
+                .iter()
+                .zip(&reports)
+                .filter(|(_, r)| is_unprepared(r));
+            pending = remaining.map(|(rank, _)| *rank).collect();
+            if pending.is_empty() {
                 return true;
             }
         }
         false
     }
 
-    /// Whether the group is no longer the one that the switch is for.
-    fn is_over(&self, report: &EngineReport) -> bool {
+    /// Whether the group has left the epoch of the switch or is not running.
+    fn is_stale(&self, report: &EngineReport) -> bool {
         let membership = report.membership.as_ref();
         membership.is_none_or(|m| m.epoch != self.epoch || !m.open)
     }
 
-    async fn hold<R>(&self, ranks: &R) -> Held
+    async fn hold<R>(&self, ranks: &R) -> HoldOutcome
     where
         R: Ranks,
     {
-        for _ in 0..HOLD_ATTEMPTS {
-            let Some(report) = ranks.report(OWN).await else {
+        for _ in 0..MAX_HOLD_ATTEMPTS {
+            let Some(report) = ranks.report(COORDINATOR_RANK).await else {
                 continue;
             };
-            let step = report.step + LEAD;
+            let step = report.step + PASS_LEAD;
             let hold = self.fenced(EngineOrder::Hold { step });
-            match ranks.order(OWN, hold).await {
-                Some(OrderAnswer::Accepted) => return Held::At(step),
+            match ranks.order(COORDINATOR_RANK, hold).await {
+                Some(OrderAnswer::Accepted) => return HoldOutcome::Held(step),
                 Some(_) => {}
-                None => return Held::Unknown(step),
+                None => return HoldOutcome::Unknown(step),
             }
         }
-        Held::No
+        HoldOutcome::NotHeld
     }
 
-    /// Gives all ranks an order until each has accepted it; false if one does not.
+    /// Sends an order to all ranks until each has accepted it; false if one does not.
     async fn order_all<R>(&self, ranks: &R, order: &EngineOrder) -> bool
     where
         R: Ranks,
     {
-        let mut open: Vec<usize> = (0..ranks.size()).collect();
-        for attempt in 0..ORDER_ATTEMPTS {
+        let mut pending: Vec<usize> = (0..ranks.size()).collect();
+        for attempt in 0..MAX_ORDER_ATTEMPTS {
             if attempt > 0 {
-                ranks.pause(PAUSE).await;
+                ranks.pause(RETRY_INTERVAL).await;
             }
-            let orders = open
+            let orders = pending
                 .iter()
                 .map(|rank| ranks.order(*rank, self.fenced(order.clone())));
             let answers = join_all(orders).await;
-            let mut left = Vec::new();
-            for (rank, answer) in open.into_iter().zip(answers) {
+            let mut remaining = Vec::new();
+            for (rank, answer) in pending.into_iter().zip(answers) {
                 match answer {
                     Some(OrderAnswer::Accepted) => {}
                     Some(_) if attempt == 0 => return false,
-                    // After an attempt without an answer a refusal may mean that it was carried out.
-                    Some(_) => left.push(rank),
-                    None => left.push(rank),
+                    // After an unanswered attempt, a refusal may mean that the order took effect.
+                    Some(_) => remaining.push(rank),
+                    None => remaining.push(rank),
                 }
             }
-            open = left;
-            if open.is_empty() {
+            pending = remaining;
+            if pending.is_empty() {
                 return true;
             }
         }
         false
     }
 
-    /// Lets the pass go until the own rank confirms that it holds nothing back.
-    async fn let_go<R>(&self, ranks: &R, step: u64)
+    /// Releases the pass, and retries until rank 0 confirms that it holds none.
+    async fn release<R>(&self, ranks: &R, step: u64)
     where
         R: Ranks,
     {
-        for _ in 0..UNDO_ATTEMPTS {
+        for _ in 0..MAX_UNDO_ATTEMPTS {
             let answer = ranks
-                .order(OWN, self.fenced(EngineOrder::Go { step }))
+                .order(COORDINATOR_RANK, self.fenced(EngineOrder::Go { step }))
                 .await;
             if matches!(answer, Some(OrderAnswer::Accepted | OrderAnswer::Fenced)) {
                 return;
             }
-            let report = ranks.report(OWN).await;
-            if report.is_some_and(|r| r.held.is_none() || self.is_over(&r)) {
+            let report = ranks.report(COORDINATOR_RANK).await;
+            if report.is_some_and(|r| r.held.is_none() || self.is_stale(&r)) {
                 return;
             }
-            ranks.pause(PAUSE).await;
+            ranks.pause(RETRY_INTERVAL).await;
         }
     }
 
-    /// The switch back to the old map, under a version that outranks this one.
-    fn back(&self) -> Self {
+    /// Returns the switch back to the old map, under a higher version.
+    fn rollback(&self) -> Self {
         Self {
             version: self.version + 1,
             new: self.old.clone(),
@@ -249,10 +252,10 @@
         }
     }
 
-    /// Makes sure that no rank can leave the map in use, and lets the pass go.
+    /// Ensures that no rank can leave the map in use, and releases the pass.
     ///
     /// The version of this switch has to be higher than any before, and its new
-    /// map the one in use. Also for a pass that an earlier coordinator left held.
+    /// map the one in use. Also releases a pass that an earlier coordinator left held.
     pub async fn undo<R>(&self, ranks: &R, step: u64) -> Ending
     where
         R: Ranks,
@@ -260,88 +263,88 @@
         if !self.take_over(ranks, step).await {
             return Ending::GivenUp;
         }
-        let mut open: Vec<usize> = (0..ranks.size()).collect();
-        for _ in 0..UNDO_ATTEMPTS {
-            let settled = join_all(open.iter().map(|rank| self.settle(ranks, *rank))).await;
-            if settled.contains(&Settled::Over) {
+        let mut pending: Vec<usize> = (0..ranks.size()).collect();
+        for _ in 0..MAX_UNDO_ATTEMPTS {
+            let outcomes = join_all(pending.iter().map(|rank| self.restore(ranks, *rank))).await;
+            if outcomes.contains(&RestoreOutcome::Superseded) {
                 return Ending::GivenUp;
             }
-            let left = open
+            let remaining = pending
                 .iter()
-                .zip(&settled)
-                .filter(|(_, s)| **s != Settled::Yes);
-            open = left.map(|(rank, _)| *rank).collect();
-            if open.is_empty() {
-                self.let_go(ranks, step).await;
+                .zip(&outcomes)
+                .filter(|(_, s)| **s != RestoreOutcome::Restored);
+            pending = remaining.map(|(rank, _)| *rank).collect();
+            if pending.is_empty() {
+                self.release(ranks, step).await;
                 return Ending::Undone;
             }
-            ranks.pause(PAUSE).await;
+            ranks.pause(RETRY_INTERVAL).await;
         }
         Ending::GivenUp
     }
 
-    /// Holds the pass back under this version, which shuts every older coordinator out.
+    /// Holds the pass under this version, which fences off every older coordinator.
     ///
-    /// Only then may a rank be disarmed: otherwise an older one could let the pass go
-    /// meanwhile. Fails if the pass has begun or a newer coordinator has taken over.
+    /// Only then may a rank be disarmed: otherwise an older coordinator could release
+    /// the pass meanwhile. Fails if the pass has begun or a newer coordinator has taken over.
     async fn take_over<R>(&self, ranks: &R, step: u64) -> bool
     where
         R: Ranks,
     {
-        for _ in 0..UNDO_ATTEMPTS {
+        for _ in 0..MAX_UNDO_ATTEMPTS {
             let hold = self.fenced(EngineOrder::Hold { step });
-            match ranks.order(OWN, hold).await {
+            match ranks.order(COORDINATOR_RANK, hold).await {
                 Some(answer) => return answer == OrderAnswer::Accepted,
-                None => ranks.pause(PAUSE).await,
+                None => ranks.pause(RETRY_INTERVAL).await,
             }
         }
         false
     }
 
-    /// Disarms one rank and has it prepare the map in use under this version.
-    async fn settle<R>(&self, ranks: &R, rank: usize) -> Settled
+    /// Disarms one rank and orders it to prepare the map in use under this version.
+    async fn restore<R>(&self, ranks: &R, rank: usize) -> RestoreOutcome
     where
         R: Ranks,
     {
         let Some(report) = ranks.report(rank).await else {
-            return Settled::No;
+            return RestoreOutcome::Pending;
         };
-        if self.is_over(&report) {
-            return Settled::Over;
+        if self.is_stale(&report) {
+            return RestoreOutcome::Superseded;
         }
         if let Some(version) = report.armed {
             let disarm = self.fenced(EngineOrder::Disarm { version });
             ranks.order(rank, disarm).await;
         } else if report.prepared == Some(self.version) {
-            return Settled::Yes;
+            return RestoreOutcome::Restored;
         }
         let order = self.fenced(prepare(self.version, &self.new));
         match ranks.order(rank, order).await {
-            Some(OrderAnswer::Accepted) => Settled::Yes,
+            Some(OrderAnswer::Accepted) => RestoreOutcome::Restored,
             // Another coordinator has taken over.
-            Some(OrderAnswer::Fenced) => Settled::Over,
-            Some(OrderAnswer::Refused) | None => Settled::No,
+            Some(OrderAnswer::Fenced) => RestoreOutcome::Superseded,
+            Some(OrderAnswer::Refused) | None => RestoreOutcome::Pending,
         }
     }
 }
 
-/// Whether a pass is held back.
-enum Held {
-    /// This one is.
-    At(u64),
-    /// None is.
-    No,
-    /// This one may be, now or later.
+/// Outcome of holding a pass.
+enum HoldOutcome {
+    /// This pass is held.
+    Held(u64),
+    /// No pass is held.
+    NotHeld,
+    /// The order was not answered: this pass may be held, now or later.
     Unknown(u64),
 }
 
-/// Whether a rank can still switch.
+/// Outcome of restoring the map in use on one rank.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Settled {
-    /// It cannot.
-    Yes,
-    /// It may.
-    No,
-    /// Its group was formed anew.
-    Over,
+enum RestoreOutcome {
+    /// The rank can no longer switch.
+    Restored,
+    /// The rank may still switch.
+    Pending,
+    /// The group was formed again, or a newer coordinator has taken over.
+    Superseded,
 }
