--- a/decision/experts/src/plan/bound.rs
+++ b/decision/experts/src/plan/bound.rs
@@ -1,9 +1,9 @@
-//! Lower bounds on the time of a layer, whatever the placement.
+//! Lower bounds on the time of a layer under any placement.
 
-/// Halvings of the interval in which the bound lies.
-const HALVINGS: usize = 24;
+/// Steps of the bisection for the bound.
+const BISECTION_STEPS: usize = 24;
 
-/// Speeds of the ranks, prepared for the bounds of many layers.
+/// Cumulated speeds of the ranks, reused for the bounds of all layers.
 #[derive(Clone, Debug)]
 pub struct Bounds {
     fastest: Vec<f64>,
@@ -11,7 +11,7 @@
 }
 
 impl Bounds {
-    /// Prepares the bounds of ranks with these `speeds` and `slots` in all.
+    /// Prepares bounds for ranks with these `speeds` and a total of `slots`.
     pub fn new(speeds: &[f64], slots: usize) -> Self {
         let mut sorted = speeds.to_vec();
         sorted.sort_by(|a, b| b.total_cmp(a));
@@ -25,11 +25,11 @@
         Self { fastest, slots }
     }
 
-    /// Shortest time in which any placement can carry `loads`.
+    /// Lower bound on the time in which any placement can serve `loads`.
     ///
-    /// The work has to fit into the speed of all ranks, and an expert needs as
-    /// many replicas as it takes for the fastest ranks to carry it in time;
-    /// the replicas of all experts have to fit into the slots.
+    /// The work has to fit into the total speed of all ranks, and an expert needs
+    /// as many replicas as the fastest ranks need to serve it in time; the replicas
+    /// of all experts have to fit into the slots.
     pub fn layer(&self, loads: &[f64]) -> f64 {
         let work: f64 = loads.iter().sum();
         let total = self.fastest.last().copied().unwrap_or(1.0);
@@ -38,7 +38,7 @@
             return low;
         }
         let mut high = work / self.fastest[0];
-        for _ in 0..HALVINGS {
+        for _ in 0..BISECTION_STEPS {
             let middle = 0.5 * (low + high);
             if self.fits(loads, middle) {
                 high = middle;
@@ -52,9 +52,9 @@
     fn fits(&self, loads: &[f64], time: f64) -> bool {
         let mut used = 0;
         for load in loads {
-            // The tolerance keeps rounding from lifting the bound.
-            let need = load / time * (1.0 - 1e-9);
-            used += self.fastest.partition_point(|sum| *sum < need) + 1;
+            // The tolerance prevents rounding from raising the bound.
+            let required = load / time * (1.0 - 1e-9);
+            used += self.fastest.partition_point(|sum| *sum < required) + 1;
             if used > self.slots {
                 return false;
             }
--- a/decision/experts/src/plan/demand.rs
+++ b/decision/experts/src/plan/demand.rs
@@ -1,25 +1,25 @@
-//! What a placement has to carry: load of each expert and speed of each rank.
+//! Demand on a placement: load of each expert and speed of each rank.
 
 use serde::{Deserialize, Serialize};
 
 use super::bound::Bounds;
 use crate::{ExpertMap, Layout};
 
-/// Least part of a layer's tokens that an expert counts with.
-const LEAST_SHARE: f64 = 1e-6;
+/// Minimum share of a layer's tokens that an expert is planned with.
+const MIN_LOAD_SHARE: f64 = 1e-6;
 
-/// Loads and speeds that a plan is made for.
+/// Expert loads and rank speeds that a plan is computed for.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Demand {
-    /// Experts in each layer.
+    /// Number of experts in each layer.
     pub experts: usize,
-    /// Part of its layer's tokens that each expert takes, layer after layer.
+    /// Share of its layer's tokens that each expert processes, layer after layer.
     pub loads: Vec<f64>,
-    /// Speed of each rank, 1.0 for an ordinary one.
+    /// Speed of each rank relative to the median, which is 1.0.
     pub speeds: Vec<f64>,
 }
 
-/// Times of a map under a demand, in units of one rank doing a whole layer.
+/// Step time of a map under a demand; the unit is the time of one rank for a whole layer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Forecast {
     /// Sum over layers of the slowest rank's time.
@@ -31,19 +31,19 @@
 }
 
 impl Forecast {
-    /// Time over the lower bound.
+    /// Ratio of the time to the lower bound.
     pub fn skew(&self) -> f64 {
         self.time / self.bound.max(f64::MIN_POSITIVE)
     }
 
-    /// Highest over mean time of the ranks.
+    /// Ratio of the slowest time to the mean time of the ranks.
     pub fn imbalance(&self) -> f64 {
         self.time / self.mean.max(f64::MIN_POSITIVE)
     }
 }
 
 impl Demand {
-    /// Builds a demand from weights of any scale; each layer is normalised.
+    /// Creates a demand from weights of any scale; each layer is normalised.
     pub fn new(experts: usize, weights: &[f64], speeds: &[f64]) -> Self {
         let mut loads = Vec::with_capacity(weights.len());
         for layer in weights.chunks(experts.max(1)) {
@@ -55,7 +55,7 @@
                     1.0 / experts as f64
                 }
             };
-            let floored: Vec<f64> = layer.iter().map(|w| share(w).max(LEAST_SHARE)).collect();
+            let floored: Vec<f64> = layer.iter().map(|w| share(w).max(MIN_LOAD_SHARE)).collect();
             let total: f64 = floored.iter().sum();
             loads.extend(floored.iter().map(|l| l / total));
         }
@@ -82,8 +82,8 @@
         let mut times = vec![0.0; layout.ranks.len()];
         for (slot, owner) in slots.iter().zip(layout.owners()) {
             let expert = usize::from(slot.expert);
-            let part = f64::from(slot.weight) / f64::from(weights[expert].max(1));
-            times[owner] += loads[expert] * part / self.speeds[owner];
+            let fraction = f64::from(slot.weight) / f64::from(weights[expert].max(1));
+            times[owner] += loads[expert] * fraction / self.speeds[owner];
         }
         times
     }
--- a/decision/experts/src/plan/mod.rs
+++ b/decision/experts/src/plan/mod.rs
@@ -1,4 +1,4 @@
-//! Placement of experts: demand, lower bounds, placements and the decision to move.
+//! Planning of expert maps: demand, lower bounds, placements and the decision to rebalance.
 
 mod balance;
 mod bound;
--- a/decision/experts/src/plan/planner.rs
+++ b/decision/experts/src/plan/planner.rs
@@ -1,10 +1,10 @@
-//! Decision whether to leave the map in force, and for which one.
+//! Decision whether to replace the current map, and by which one.
 //!
-//! A plan starts from the map in force. Splitting tokens anew over the replicas
-//! in place moves no weights and comes first; then the changes that save most
-//! time for each expert moved. A plan is proposed only if it saves time under
-//! both the fast and the slow view of popularity, so that a burst alone does
-//! not move experts.
+//! A plan starts from the current map. Splitting tokens again over the existing
+//! replicas moves no weights and comes first; then the changes that save most
+//! time per expert moved. A plan is proposed only if it saves time under both
+//! the fast and the slow average of popularity, so that a burst alone does not
+//! move experts.
 
 use std::time::Duration;
 
@@ -19,36 +19,36 @@
 use super::speed::{Speeds, StepSample};
 use crate::{ExpertMap, Layout, MapError};
 
-/// Limits and prices of plans for one group.
+/// Thresholds, limits and costs of plans for one group.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PlanPolicy {
-    /// Weights of one expert in one layer, bytes.
+    /// Size of the weights of one expert in one layer, bytes.
     pub weight: u64,
     /// Staging memory of a rank, bytes.
     pub staging: u64,
-    /// Time over which a move has to pay for itself.
+    /// Time within which the time saved has to exceed the cost of the moves.
     pub horizon: Duration,
-    /// Rate at which a rank receives weights, bytes in a second.
+    /// Rate at which a rank receives weights, bytes per second.
     pub link: u64,
-    /// Part of a step's time that receiving weights adds.
+    /// Relative increase of the step time while weights are received.
     pub slowdown: f64,
-    /// Pause of the group at a switch.
+    /// Time that a switch pauses the group.
     pub stall: Duration,
-    /// Half-life of the fast view of popularity.
+    /// Half-life of the fast average of popularity.
     pub fast: Duration,
-    /// Half-life of the slow view of popularity.
+    /// Half-life of the slow average of popularity.
     pub slow: Duration,
-    /// Time over the bound from which a plan is looked for.
+    /// Ratio of step time to lower bound from which a plan is computed.
     pub trigger: f64,
-    /// Part of the step time that a plan has to save.
+    /// Fraction of the step time that a plan has to save.
     pub gain: f64,
-    /// Looks in a row that have to find the trigger reached.
+    /// Number of consecutive evaluations that have to reach the trigger.
     pub looks: u32,
-    /// Least time between two proposals.
+    /// Minimum time between two proposals.
     pub pause: Duration,
 }
 
-/// Why no plan was made.
+/// Reason why no plan was proposed.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Declined {
@@ -58,78 +58,78 @@
     /// A switch is in flight.
     #[display("a switch is in flight")]
     Switching,
-    /// The map in force is close enough to the bound.
-    #[display("the map in force is balanced")]
+    /// The current map is close enough to the bound.
+    #[display("the current map is balanced")]
     Balanced,
-    /// The imbalance has not lasted.
-    #[display("the imbalance has not lasted")]
+    /// The trigger has been reached in too few consecutive evaluations.
+    #[display("the imbalance has not lasted long enough")]
     Brief,
     /// The last proposal is too recent.
     #[display("the last plan is too recent")]
     Recent,
-    /// No change saves enough time.
-    #[display("no change saves enough")]
+    /// No allowed change saves the required fraction of the step time.
+    #[display("no change saves enough time")]
     SmallGain,
-    /// The change does not pay for itself over the horizon.
-    #[display("the moves would not pay for themselves")]
+    /// The time saved within the horizon is less than the cost of the moves.
+    #[display("the moves cost more time than they save")]
     TooDear,
-    /// The change helps only under a popularity that may not last.
-    #[display("the popularity has not settled")]
+    /// The change saves enough time under only one average of popularity.
+    #[display("expert popularity is not stable")]
     Unsettled,
-    /// The map in force does not fit the layout.
-    #[display("the map in force does not fit")]
+    /// The current map does not fit the layout.
+    #[display("the current map does not fit the layout")]
     Invalid,
 }
 
-/// A map that is better than the one in force, and what it takes.
+/// Improved map, with its forecast and the transfers that it requires.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Plan {
-    /// Map proposed.
+    /// Proposed map.
     pub map: ExpertMap,
-    /// Weights that have to be loaded.
+    /// Weights that ranks have to load.
     pub loads: Vec<Load>,
-    /// Forecast for the map in force.
+    /// Forecast for the current map.
     pub before: Forecast,
     /// Forecast for the proposed map.
     pub after: Forecast,
-    /// Bytes moved.
+    /// Size of all weights to load, bytes.
     pub bytes: u64,
 }
 
-/// Outcome of one look at a group.
+/// Outcome of one evaluation of a group.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Verdict {
-    /// Switch to this map.
+    /// The group should switch to this map.
     Propose(Box<Plan>),
-    /// Stay.
+    /// The group should keep its map.
     Decline {
-        /// Why.
+        /// First reason found.
         reason: Declined,
-        /// Forecast for the map in force.
+        /// Forecast for the current map; all zero if the map is invalid.
         forecast: Forecast,
     },
 }
 
-/// What holds for one look at a group.
+/// Conditions of one evaluation of a group.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Conditions {
-    /// Operators have paused the group, or everything.
+    /// Operators have paused rebalancing of the group, or of all groups.
     pub paused: bool,
     /// A switch is in flight.
     pub switching: bool,
-    /// Bytes that may still be moved.
+    /// Bytes that may be moved now.
     pub allowance: u64,
 }
 
-/// Planner of one group.
+/// Planner of the expert map of one group.
 #[derive(Clone, Debug)]
 pub struct Planner {
     layout: Layout,
     policy: PlanPolicy,
     popularity: Popularity,
     speeds: Speeds,
-    looks: u32,
-    last: Option<Time>,
+    evaluations: u32,
+    last_proposal: Option<Time>,
 }
 
 impl Default for PlanPolicy {
@@ -152,7 +152,7 @@
 }
 
 impl PlanPolicy {
-    /// Takes over the limits that operators declare in a profile.
+    /// Applies the limits that operators declare in a profile.
     #[must_use]
     pub fn with_limits(mut self, limits: &RebalancePolicy) -> Self {
         self.staging = limits.staging;
@@ -162,7 +162,11 @@
 }
 
 impl Planner {
-    /// Starts without knowledge of popularity or speeds.
+    /// Creates a planner without token counts or step times.
+    ///
+    /// # Errors
+    ///
+    /// The layout is empty, or has too few slots for the experts or too many for a map.
     pub fn new(layout: Layout, policy: PlanPolicy) -> Result<Self, MapError> {
         layout.check()?;
         let size = usize::from(layout.layers) * usize::from(layout.experts);
@@ -172,35 +176,35 @@
             speeds: Speeds::new(ranks),
             layout,
             policy,
-            looks: 0,
-            last: None,
+            evaluations: 0,
+            last_proposal: None,
         })
     }
 
-    /// Shape of the group.
+    /// Layers, experts and ranks of the group.
     pub fn layout(&self) -> &Layout {
         &self.layout
     }
 
-    /// Takes in token counts; false if they were not used.
+    /// Adds token counts; false if they are malformed, unknown or a duplicate.
     pub fn observe_tokens(&mut self, counts: &TokenCounts) -> bool {
         self.popularity.observe(counts)
     }
 
-    /// Takes in a step time; false if it was not used.
+    /// Adds a step time; false if the sample is unusable.
     pub fn observe_step(&mut self, sample: &StepSample) -> bool {
         self.speeds.observe(sample)
     }
 
-    /// Forgets what was learnt of a rank that has restarted.
+    /// Discards the sequence numbers and step times of a rank that has restarted.
     pub fn reset_rank(&mut self, rank: u16) {
         self.popularity.reset(rank);
         self.speeds.reset(rank);
     }
 
-    /// Demand that plans are made for: the geometric mean of both views.
+    /// Demand that plans are computed for: the geometric mean of both averages of popularity.
     ///
-    /// An expert that is hot in one view only counts for little.
+    /// An expert that is hot in only one of them gets a low load.
     pub fn demand(&mut self, now: Time) -> Demand {
         let speeds = self.speeds.read(now);
         let fast = Demand::new(self.experts(), self.popularity.fast(), &speeds);
@@ -210,7 +214,7 @@
         Demand::new(self.experts(), &blend, &speeds)
     }
 
-    /// Slowest rank and its speed, if it is slower than ordinary.
+    /// Slowest rank and its speed, if it is below the median speed of 1.0.
     pub fn straggler(&mut self, now: Time) -> Option<(u16, f64)> {
         let speeds = self.speeds.read(now);
         let ranks = speeds.into_iter().enumerate();
@@ -218,20 +222,20 @@
         (speed < 1.0).then_some((rank as u16, speed))
     }
 
-    /// Looks whether the group should leave `map`.
+    /// Evaluates whether the group should replace `map`, its current one.
     pub fn look(&mut self, now: Time, map: &ExpertMap, conditions: Conditions) -> Verdict {
         let demand = self.demand(now);
         if map.check(&self.layout).is_err() {
             return decline(Declined::Invalid, Forecast::default());
         }
         let before = demand.forecast(&self.layout, map);
-        let verdict = match self.obstacle(now, &before, conditions) {
+        let verdict = match self.decline_reason(now, &before, conditions) {
             Some(reason) => decline(reason, before),
             None => self.search(now, map, &demand, before, conditions.allowance),
         };
         if let Verdict::Propose(_) = verdict {
-            self.last = Some(now);
-            self.looks = 0;
+            self.last_proposal = Some(now);
+            self.evaluations = 0;
         }
         verdict
     }
@@ -240,7 +244,7 @@
         usize::from(self.layout.experts)
     }
 
-    fn obstacle(
+    fn decline_reason(
         &mut self,
         now: Time,
         before: &Forecast,
@@ -253,15 +257,17 @@
             return Some(Declined::Switching);
         }
         if before.skew() < self.policy.trigger {
-            self.looks = 0;
+            self.evaluations = 0;
             return Some(Declined::Balanced);
         }
-        self.looks += 1;
-        if self.looks < self.policy.looks {
+        self.evaluations += 1;
+        if self.evaluations < self.policy.looks {
             return Some(Declined::Brief);
         }
         let recent = |last: Time| now.since(last) < self.policy.pause;
-        self.last.is_some_and(recent).then_some(Declined::Recent)
+        self.last_proposal
+            .is_some_and(recent)
+            .then_some(Declined::Recent)
     }
 
     fn search(
@@ -277,16 +283,19 @@
         let after = demand.forecast(&self.layout, &next);
         let loads = sources(&self.layout, map, &next, &demand.speeds);
         let moved = loads.len() as u64;
-        if !self.saves(&before, &after) {
+        if !self.saves_enough(&before, &after) {
             return decline(Declined::SmallGain, before);
         }
-        if !self.pays(&before, &after, moved) {
+        if !self.pays_off(&before, &after, moved) {
             return decline(Declined::TooDear, before);
         }
-        if !self.lasts(map, &next, &demand.speeds) {
+        if !self.saves_in_both(map, &next, &demand.speeds) {
             return decline(Declined::Unsettled, before);
         }
-        debug_assert!(now >= self.last.unwrap_or(Time::ZERO), "time went back");
+        debug_assert!(
+            now >= self.last_proposal.unwrap_or(Time::ZERO),
+            "time must not go backwards"
+        );
         Verdict::Propose(Box::new(Plan {
             loads,
             map: next,
@@ -306,26 +315,26 @@
         }
     }
 
-    fn saves(&self, before: &Forecast, after: &Forecast) -> bool {
+    fn saves_enough(&self, before: &Forecast, after: &Forecast) -> bool {
         after.time < before.time * (1.0 - self.policy.gain)
     }
 
-    fn pays(&self, before: &Forecast, after: &Forecast, moved: u64) -> bool {
+    fn pays_off(&self, before: &Forecast, after: &Forecast, moved: u64) -> bool {
         let saved = (1.0 - after.time / before.time) * self.policy.horizon.as_secs_f64();
         let bytes = (moved * self.policy.weight) as f64;
         let transfer = bytes / self.policy.link.max(1) as f64;
         saved > transfer * self.policy.slowdown + self.policy.stall.as_secs_f64()
     }
 
-    /// Whether `next` saves time under both views of popularity.
-    fn lasts(&self, map: &ExpertMap, next: &ExpertMap, speeds: &[f64]) -> bool {
+    /// Whether `next` saves enough time under both averages of popularity.
+    fn saves_in_both(&self, map: &ExpertMap, next: &ExpertMap, speeds: &[f64]) -> bool {
         [self.popularity.fast(), self.popularity.slow()]
             .into_iter()
             .all(|weights| {
                 let demand = Demand::new(self.experts(), weights, speeds);
                 let before = demand.forecast(&self.layout, map);
                 let after = demand.forecast(&self.layout, next);
-                self.saves(&before, &after)
+                self.saves_enough(&before, &after)
             })
     }
 }
--- a/decision/experts/src/plan/popularity.rs
+++ b/decision/experts/src/plan/popularity.rs
@@ -1,21 +1,21 @@
-//! Popularity of experts from token counts that arrive late, twice or not at all.
+//! Popularity of experts from token counts that may be late, duplicated or lost.
 //!
-//! Counts are weighed by the time at which they were taken, not at which they
-//! arrive, so a late report counts as if it had come in time. A gap only thins
-//! the sample: each layer is normalised when the demand is read.
+//! Counts are weighted by the time at which they were taken, not at which they
+//! arrive, so a late report counts the same as a timely one. A lost report only
+//! reduces the sample: each layer is normalised when the demand is computed.
 
 use std::time::Duration;
 
 use pimentotide_model::Time;
 use serde::{Deserialize, Serialize};
 
-/// Exponent of the forward weight at which all sums are scaled down.
+/// Exponent of the forward weight above which all sums are scaled down.
 const RESCALE_EXPONENT: f64 = 256.0;
 
-/// Sequence numbers behind the newest that duplicates are recognised within.
+/// Latest sequence numbers in which duplicates are recognised; older ones are rejected.
 const DUPLICATE_WINDOW: u64 = 64;
 
-/// Tokens that each expert took during one interval, as one rank saw them.
+/// Tokens that each expert processed during one interval, as counted by one rank.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TokenCounts {
     /// Rank that reports.
@@ -28,33 +28,33 @@
     pub tokens: Vec<u32>,
 }
 
-/// Sequence numbers seen from one reporter.
+/// Sliding window of the sequence numbers received from one reporter.
 #[derive(Clone, Copy, Debug, Default)]
-struct Seen {
+struct SequenceWindow {
     newest: u64,
     mask: u64,
 }
 
-/// Decayed token counts of all experts.
+/// Token counts of all experts with fast and slow exponential decay.
 #[derive(Clone, Debug)]
 pub struct Popularity {
     size: usize,
-    fast: Decayed,
-    slow: Decayed,
-    seen: Vec<Seen>,
+    fast: DecayedSums,
+    slow: DecayedSums,
+    windows: Vec<SequenceWindow>,
 }
 
 /// Sums under forward exponential decay.
 #[derive(Clone, Debug)]
-struct Decayed {
-    half: f64,
+struct DecayedSums {
+    half_life: f64,
     origin: f64,
     sums: Vec<f64>,
 }
 
-impl Seen {
-    /// Whether `sequence` is new; remembers it.
-    fn admit(&mut self, sequence: u64) -> bool {
+impl SequenceWindow {
+    /// Records `sequence`; false if it is a duplicate or older than the window.
+    fn insert(&mut self, sequence: u64) -> bool {
         if sequence > self.newest {
             let ahead = sequence - self.newest;
             self.mask = self.mask.checked_shl(ahead as u32).unwrap_or(0) | 1;
@@ -73,10 +73,10 @@
     }
 }
 
-impl Decayed {
-    fn new(size: usize, half: Duration) -> Self {
+impl DecayedSums {
+    fn new(size: usize, half_life: Duration) -> Self {
         Self {
-            half: half.as_secs_f64(),
+            half_life: half_life.as_secs_f64(),
             origin: 0.0,
             sums: vec![0.0; size],
         }
@@ -84,7 +84,7 @@
 
     fn add(&mut self, tokens: &[u32], at: Time) {
         let seconds = at.as_micros() as f64 / 1e6;
-        let mut exponent = (seconds - self.origin) / self.half;
+        let mut exponent = (seconds - self.origin) / self.half_life;
         if exponent > RESCALE_EXPONENT {
             let scale = (-exponent).exp2();
             self.sums.iter_mut().for_each(|s| *s *= scale);
@@ -99,25 +99,25 @@
 }
 
 impl Popularity {
-    /// Starts without counts for a model of `size` experts over all layers.
+    /// Creates empty counts for a model of `size` experts over all layers.
     pub fn new(size: usize, reporters: usize, fast: Duration, slow: Duration) -> Self {
         Self {
             size,
-            fast: Decayed::new(size, fast),
-            slow: Decayed::new(size, slow),
-            seen: vec![Seen::default(); reporters],
+            fast: DecayedSums::new(size, fast),
+            slow: DecayedSums::new(size, slow),
+            windows: vec![SequenceWindow::default(); reporters],
         }
     }
 
-    /// Takes in one report; false if it is malformed, unknown or a duplicate.
+    /// Adds one report; false if it is malformed, from an unknown reporter or a duplicate.
     pub fn observe(&mut self, counts: &TokenCounts) -> bool {
         if counts.tokens.len() != self.size {
             return false;
         }
-        let Some(seen) = self.seen.get_mut(usize::from(counts.reporter)) else {
+        let Some(window) = self.windows.get_mut(usize::from(counts.reporter)) else {
             return false;
         };
-        if !seen.admit(counts.sequence) {
+        if !window.insert(counts.sequence) {
             return false;
         }
         self.fast.add(&counts.tokens, counts.at);
@@ -125,19 +125,19 @@
         true
     }
 
-    /// Forgets the sequence of a reporter that has restarted.
+    /// Resets the sequence numbers of a reporter that has restarted.
     pub fn reset(&mut self, reporter: u16) {
-        if let Some(seen) = self.seen.get_mut(usize::from(reporter)) {
-            *seen = Seen::default();
+        if let Some(window) = self.windows.get_mut(usize::from(reporter)) {
+            *window = SequenceWindow::default();
         }
     }
 
-    /// Counts that follow changes soon.
+    /// Counts with the short half-life, which follow changes quickly.
     pub fn fast(&self) -> &[f64] {
         &self.fast.sums
     }
 
-    /// Counts that follow lasting changes only.
+    /// Counts with the long half-life, which follow only lasting changes.
     pub fn slow(&self) -> &[f64] {
         &self.slow.sums
     }
--- a/decision/experts/src/plan/select.rs
+++ b/decision/experts/src/plan/select.rs
@@ -1,40 +1,40 @@
-//! Choice of the fewest changes that bring most of the gain, over all layers.
+//! Selection of the fewest changes that yield most of the gain, over all layers.
 
-use super::balance::{Balance, Site, Split};
+use super::balance::{Balance, RankTable, Split};
 use super::bound::Bounds;
 use super::demand::Demand;
 use super::place::{MAX_LAYER_CHANGES, TOLERANCE};
 use crate::{ExpertMap, Layout, Slot};
 
-/// Distance from the bound, relative, at which further changes are left out.
-const ENOUGH: f64 = 0.03;
+/// Relative distance of the step time from the bound within which no more moves are selected.
+const BOUND_TOLERANCE: f64 = 0.03;
 
-/// Limits on the changes of one plan.
+/// Limits on the expert moves of one plan.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limits {
-    /// Experts moved at most.
+    /// Maximum number of experts moved.
     pub moves: u64,
-    /// Experts moved to one rank at most.
+    /// Maximum number of experts moved to one rank.
     pub staged: u64,
-    /// Least part of the step time that one moved expert has to save.
+    /// Minimum fraction of the step time that each moved expert has to save.
     pub price: f64,
 }
 
-/// One layer after some of its changes.
+/// State of one layer after some of its changes.
 struct Point {
     split: Split,
     moved: u64,
     time: f64,
 }
 
-/// Way of one layer from the map in force to the best map found.
-struct Track {
+/// Steps of one layer from the current map to the best map found.
+struct LayerPath {
     old: Vec<Slot>,
     start: f64,
     points: Vec<Point>,
 }
 
-/// Next point of a layer that is worth its moves.
+/// Advance of a layer to a further point, with its gain and moves.
 struct Stage {
     layer: usize,
     point: usize,
@@ -42,30 +42,30 @@
     moves: u64,
 }
 
-/// Returns `map` with the changes that save most, within `limits`.
+/// Returns `map` with the changes that save the most time, within `limits`.
 pub fn improve_map(
     layout: &Layout,
     demand: &Demand,
     map: &ExpertMap,
     limits: &Limits,
 ) -> ExpertMap {
-    let site = Site::new(layout, &demand.speeds);
+    let table = RankTable::new(layout, &demand.speeds);
     let bounds = Bounds::new(&demand.speeds, layout.width());
-    let tracks: Vec<Track> = (0..usize::from(layout.layers))
+    let paths: Vec<LayerPath> = (0..usize::from(layout.layers))
         .map(|layer| {
             let target = bounds.layer(demand.layer(layer)) * (1.0 + TOLERANCE);
             let start = demand.layer_time(layout, map, layer);
-            follow(&site, demand.layer(layer), target, map.layer(layer), start)
+            trace_path(&table, demand.layer(layer), target, map.layer(layer), start)
         })
         .collect();
     let bound = demand.bound(layout);
-    let chosen = choose(&tracks, &site, limits, bound * (1.0 + ENOUGH));
-    let slots = tracks
+    let chosen = choose(&paths, &table, limits, bound * (1.0 + BOUND_TOLERANCE));
+    let slots = paths
         .iter()
         .zip(chosen)
-        .flat_map(|(track, point)| match point {
-            Some(point) => track.points[point].split.slots(),
-            None => track.old.clone(),
+        .flat_map(|(path, point)| match point {
+            Some(point) => path.points[point].split.slots(),
+            None => path.old.clone(),
         })
         .collect();
     ExpertMap {
@@ -74,11 +74,17 @@
     }
 }
 
-fn follow(site: &Site, loads: &[f64], target: f64, old: &[Slot], start: f64) -> Track {
+fn trace_path(
+    table: &RankTable,
+    loads: &[f64],
+    target: f64,
+    old: &[Slot],
+    start: f64,
+) -> LayerPath {
     let experts: Vec<u16> = old.iter().map(|s| s.expert).collect();
     let mut points = Vec::new();
     if start > target {
-        let mut balance = Balance::new(site, loads, target, experts);
+        let mut balance = Balance::new(table, loads, target, experts);
         points.push(point(&balance, old));
         for _ in 0..MAX_LAYER_CHANGES {
             if balance.improve().is_none() {
@@ -87,7 +93,7 @@
             points.push(point(&balance, old));
         }
     }
-    Track {
+    LayerPath {
         old: old.to_vec(),
         start,
         points,
@@ -104,22 +110,22 @@
     }
 }
 
-/// Points of a layer with rising moves and falling gain for each move.
-fn stages(layer: usize, track: &Track) -> Vec<Stage> {
+/// Stages of a layer with increasing moves and decreasing gain per move.
+fn stages(layer: usize, path: &LayerPath) -> Vec<Stage> {
     let mut stages: Vec<Stage> = Vec::new();
-    let (mut moved, mut time, mut next) = (0, track.start, 0);
-    while next < track.points.len() {
+    let (mut moved, mut time, mut next) = (0, path.start, 0);
+    while next < path.points.len() {
         let rate = |p: &Point| (time - p.time) / p.moved.saturating_sub(moved).max(1) as f64;
-        let best = (next..track.points.len())
-            .filter(|i| track.points[*i].time < time && track.points[*i].moved >= moved)
+        let best = (next..path.points.len())
+            .filter(|i| path.points[*i].time < time && path.points[*i].moved >= moved)
             .max_by(|a, b| {
-                let order = rate(&track.points[*a]).total_cmp(&rate(&track.points[*b]));
+                let order = rate(&path.points[*a]).total_cmp(&rate(&path.points[*b]));
                 order.then(b.cmp(a))
             });
         let Some(best) = best else {
             break;
         };
-        let point = &track.points[best];
+        let point = &path.points[best];
         stages.push(Stage {
             layer,
             point: best,
@@ -131,13 +137,18 @@
     stages
 }
 
-/// Picks stages by gain for each move until the step time comes near `goal`.
-fn choose(tracks: &[Track], site: &Site, limits: &Limits, goal: f64) -> Vec<Option<usize>> {
-    let start: f64 = tracks.iter().map(|t| t.start).sum();
-    let mut all: Vec<Stage> = tracks
+/// Selects stages by gain per move until the step time reaches `goal`.
+fn choose(
+    paths: &[LayerPath],
+    table: &RankTable,
+    limits: &Limits,
+    goal: f64,
+) -> Vec<Option<usize>> {
+    let start: f64 = paths.iter().map(|t| t.start).sum();
+    let mut all: Vec<Stage> = paths
         .iter()
         .enumerate()
-        .flat_map(|(layer, track)| stages(layer, track))
+        .flat_map(|(layer, path)| stages(layer, path))
         .collect();
     let rate = |s: &Stage| match s.moves {
         0 => f64::MAX,
@@ -147,20 +158,20 @@
         let order = rate(b).total_cmp(&rate(a));
         order.then((a.layer, a.point).cmp(&(b.layer, b.point)))
     });
-    let mut chosen: Vec<Option<usize>> = vec![None; tracks.len()];
-    let mut closed = vec![false; tracks.len()];
-    let mut staged = vec![0_u64; site.speeds.len()];
+    let mut chosen: Vec<Option<usize>> = vec![None; paths.len()];
+    let mut closed = vec![false; paths.len()];
+    let mut staged = vec![0_u64; table.speeds.len()];
     let (mut moves, mut gain) = (0, 0.0);
     for stage in all {
-        let paid = rate(&stage) >= limits.price * start;
-        let enough = start - gain <= goal && stage.moves > 0;
-        if closed[stage.layer] || !paid || enough {
+        let worthwhile = rate(&stage) >= limits.price * start;
+        let near_goal = start - gain <= goal && stage.moves > 0;
+        if closed[stage.layer] || !worthwhile || near_goal {
             closed[stage.layer] = true;
             continue;
         }
-        let track = &tracks[stage.layer];
-        let next = loads_by_rank(track, Some(stage.point), site);
-        let last = loads_by_rank(track, chosen[stage.layer], site);
+        let path = &paths[stage.layer];
+        let next = moves_by_rank(path, Some(stage.point), table);
+        let last = moves_by_rank(path, chosen[stage.layer], table);
         let fits = (0..staged.len())
             .all(|r| staged[r] + next[r] - last[r].min(staged[r]) <= limits.staged);
         if moves + stage.moves > limits.moves || !fits {
@@ -177,14 +188,14 @@
     chosen
 }
 
-fn loads_by_rank(track: &Track, point: Option<usize>, site: &Site) -> Vec<u64> {
-    let mut loads = vec![0; site.speeds.len()];
+fn moves_by_rank(path: &LayerPath, point: Option<usize>, table: &RankTable) -> Vec<u64> {
+    let mut moves = vec![0; table.speeds.len()];
     let Some(point) = point else {
-        return loads;
+        return moves;
     };
-    let slots = track.points[point].split.experts.iter().zip(&track.old);
-    for ((new, old), &owner) in slots.zip(&site.owners) {
-        loads[owner] += u64::from(*new != old.expert);
+    let slots = path.points[point].split.experts.iter().zip(&path.old);
+    for ((new, old), &owner) in slots.zip(&table.owners) {
+        moves[owner] += u64::from(*new != old.expert);
     }
-    loads
+    moves
 }
--- a/decision/experts/src/plan/source.rs
+++ b/decision/experts/src/plan/source.rs
@@ -1,4 +1,4 @@
-//! Where each rank gets the weights of a new map from.
+//! Sources from which each rank loads the weights of a new map.
 
 use std::collections::BTreeMap;
 
@@ -6,40 +6,40 @@
 
 use crate::{ExpertMap, Layout};
 
-/// Speed below which a rank is not asked for copies if another holds them.
-const LEAST_SOURCE_SPEED: f64 = 0.9;
+/// Speed below which a rank is a source only of weights that no faster rank holds.
+const MIN_SOURCE_SPEED: f64 = 0.9;
 
-/// Place that weights come from.
+/// Source of weights.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Source {
-    /// A rank that holds them.
+    /// A rank that holds the weights.
     Peer(u16),
-    /// The rate-limited store.
+    /// The rate-limited weight store.
     Store,
 }
 
 /// Weights of one expert that one rank has to load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Load {
-    /// Rank that loads.
+    /// Rank that loads the weights.
     pub rank: u16,
-    /// Layer.
+    /// Layer of the expert.
     pub layer: u16,
-    /// Expert.
+    /// Expert within the layer.
     pub expert: u16,
-    /// Where from.
+    /// Rank or store that the weights come from.
     pub source: Source,
 }
 
-/// Lists the loads that lead from `old` to `new`, with the best source of each.
+/// Lists the loads required to switch from `old` to `new`, with the best source of each.
 ///
-/// A peer on the same node goes first, then the peer with fewest copies to
-/// give; a slow rank only gives what no other holds.
+/// A peer on the same node is preferred, then the peer with the fewest copies to
+/// send; a slow rank sends only weights that no faster rank holds.
 pub fn sources(layout: &Layout, old: &ExpertMap, new: &ExpertMap, speeds: &[f64]) -> Vec<Load> {
     let owners = layout.owners();
     let width = layout.width();
-    let mut given = vec![0_u32; layout.ranks.len()];
+    let mut assigned = vec![0_u32; layout.ranks.len()];
     let mut loads = Vec::new();
     for index in new.changes(old) {
         let (layer, place) = (index / width, index % width);
@@ -54,12 +54,12 @@
             continue;
         }
         let peer = held.into_iter().min_by_key(|peer| {
-            let slow = speeds[*peer] < LEAST_SOURCE_SPEED;
+            let slow = speeds[*peer] < MIN_SOURCE_SPEED;
             let far = layout.ranks[*peer].node != layout.ranks[rank].node;
-            (slow, far, given[*peer], *peer)
+            (slow, far, assigned[*peer], *peer)
         });
         if let Some(peer) = peer {
-            given[peer] += 1;
+            assigned[peer] += 1;
         }
         loads.push(Load {
             rank: rank as u16,
@@ -71,13 +71,13 @@
     loads
 }
 
-/// Lists what a rank that holds nothing has to load for `map`.
+/// Lists the loads of a rank that starts `map` without any weights.
 ///
-/// `absent` ranks hold nothing either and are not asked.
+/// `absent` ranks hold no weights either and are not used as sources.
 pub fn cold_loads(layout: &Layout, map: &ExpertMap, rank: u16, absent: &[u16]) -> Vec<Load> {
     let owners = layout.owners();
     let width = layout.width();
-    let mut given: BTreeMap<u16, u32> = BTreeMap::new();
+    let mut assigned: BTreeMap<u16, u32> = BTreeMap::new();
     let mut loads = Vec::new();
     for (index, slot) in map.slots.iter().enumerate() {
         if owners[index % width] != usize::from(rank) {
@@ -91,9 +91,9 @@
             .filter(|(s, _)| s.expert == slot.expert)
             .map(|(_, owner)| *owner as u16)
             .filter(|owner| *owner != rank && !absent.contains(owner))
-            .min_by_key(|owner| (given.get(owner).copied().unwrap_or(0), *owner));
+            .min_by_key(|owner| (assigned.get(owner).copied().unwrap_or(0), *owner));
         if let Some(peer) = peer {
-            *given.entry(peer).or_default() += 1;
+            *assigned.entry(peer).or_default() += 1;
         }
         loads.push(Load {
             rank,
--- a/decision/experts/src/plan/speed.rs
+++ b/decision/experts/src/plan/speed.rs
@@ -1,9 +1,9 @@
-//! Speed of each rank from step times that arrive late and with gaps.
+//! Speed of each rank from step times that may be late or lost.
 //!
-//! Samples fall into buckets by the time at which they were taken. A rank's
-//! speed is the median over several buckets of the median within each, so a
-//! stall shorter than half of the buckets changes nothing, and a straggler that
-//! stays one shows after that time.
+//! Samples are grouped into buckets by the time at which they were taken. A
+//! rank's speed is the median over several buckets of the median within each, so
+//! a stall shorter than half of the buckets has no effect, and a persistent
+//! straggler is detected after that time.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,43 +12,43 @@
 use serde::{Deserialize, Serialize};
 
 /// Length of a bucket.
-const BUCKET: Duration = Duration::from_secs(10);
+const BUCKET_LENGTH: Duration = Duration::from_secs(10);
 
-/// Buckets that a speed is read from.
-const BUCKETS: usize = 7;
+/// Maximum number of buckets that a speed is computed from.
+const MAX_BUCKETS: usize = 7;
 
-/// Buckets with samples below which the last known speed stands.
-const LEAST_BUCKETS: usize = 4;
+/// Number of buckets with samples below which the last computed speed is kept.
+const MIN_BUCKETS: usize = 4;
 
-/// Samples kept in a bucket.
-const BUCKET_SAMPLES: usize = 31;
+/// Maximum number of samples in a bucket.
+const MAX_BUCKET_SAMPLES: usize = 31;
 
-/// Age in buckets at which samples no longer count.
-const MAX_AGE: u64 = 2 * BUCKETS as u64;
+/// Age in buckets above which samples are ignored.
+const MAX_AGE: u64 = 2 * MAX_BUCKETS as u64;
 
-/// Difference from an ordinary speed that is taken for noise.
+/// Deviation from the median speed that is treated as noise.
 const DEAD_BAND: f64 = 0.06;
 
-/// Step of reported speeds.
+/// Resolution of reported speeds.
 const SPEED_STEP: f64 = 0.05;
 
-/// Lowest speed that a rank is planned with.
-const LEAST_SPEED: f64 = 0.05;
+/// Minimum speed that a rank is planned with.
+const MIN_SPEED: f64 = 0.05;
 
-/// Time that one rank took for the work of one step.
+/// Work and time of one rank in one step.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct StepSample {
-    /// Rank.
+    /// Rank that computed the step.
     pub rank: u16,
-    /// When the step ended.
+    /// Time at which the step ended.
     pub at: Time,
-    /// Tokens that the rank's experts took, over all layers.
+    /// Tokens that the rank's experts processed, over all layers.
     pub work: u64,
-    /// Time that the rank computed, without waiting for others.
+    /// Computing time of the rank, without waits for other ranks.
     pub busy: Duration,
 }
 
-/// Step times of all ranks.
+/// Recent step times of all ranks.
 #[derive(Clone, Debug)]
 pub struct Speeds {
     ranks: Vec<History>,
@@ -57,7 +57,7 @@
 #[derive(Clone, Debug, Default)]
 struct History {
     buckets: BTreeMap<u64, Vec<f64>>,
-    known: Option<f64>,
+    last_speed: Option<f64>,
 }
 
 impl History {
@@ -67,10 +67,10 @@
             return;
         }
         let samples = self.buckets.entry(bucket).or_default();
-        if samples.len() < BUCKET_SAMPLES {
+        if samples.len() < MAX_BUCKET_SAMPLES {
             samples.push(speed);
         }
-        while self.buckets.len() > BUCKETS {
+        while self.buckets.len() > MAX_BUCKETS {
             self.buckets.pop_first();
         }
     }
@@ -78,22 +78,22 @@
     fn read(&mut self, now: u64) -> Option<f64> {
         let recent = self.buckets.range(now.saturating_sub(MAX_AGE)..);
         let mut medians: Vec<f64> = recent.map(|(_, s)| median(&mut s.clone())).collect();
-        if medians.len() >= LEAST_BUCKETS {
-            self.known = Some(median(&mut medians));
+        if medians.len() >= MIN_BUCKETS {
+            self.last_speed = Some(median(&mut medians));
         }
-        self.known
+        self.last_speed
     }
 }
 
 impl Speeds {
-    /// Starts with all of `ranks` at ordinary speed.
+    /// Creates an estimate for `ranks` ranks, all at speed 1.0.
     pub fn new(ranks: usize) -> Self {
         Self {
             ranks: vec![History::default(); ranks],
         }
     }
 
-    /// Takes in the time of one step; false if it says nothing about the speed.
+    /// Adds the time of one step; false if the rank is unknown, or the work or time is zero.
     pub fn observe(&mut self, sample: &StepSample) -> bool {
         let Some(history) = self.ranks.get_mut(usize::from(sample.rank)) else {
             return false;
@@ -106,14 +106,14 @@
         true
     }
 
-    /// Forgets a rank that has been replaced.
+    /// Discards the samples of a rank that has been replaced.
     pub fn reset(&mut self, rank: u16) {
         if let Some(history) = self.ranks.get_mut(usize::from(rank)) {
             *history = History::default();
         }
     }
 
-    /// Speeds of all ranks, 1.0 for the median one and for those not known.
+    /// Speeds of all ranks relative to the median; 1.0 for ranks with too few samples.
     pub fn read(&mut self, now: Time) -> Vec<f64> {
         let bucket = bucket_of(now);
         let raw: Vec<Option<f64>> = self.ranks.iter_mut().map(|h| h.read(bucket)).collect();
@@ -121,21 +121,21 @@
         if known.is_empty() {
             return vec![1.0; raw.len()];
         }
-        let ordinary = median(&mut known);
-        let relative = |speed: Option<f64>| speed.map_or(1.0, |s| rounded(s / ordinary));
+        let median_speed = median(&mut known);
+        let relative = |speed: Option<f64>| speed.map_or(1.0, |s| rounded(s / median_speed));
         raw.into_iter().map(relative).collect()
     }
 }
 
 fn bucket_of(at: Time) -> u64 {
-    at.as_micros() / BUCKET.as_micros() as u64
+    at.as_micros() / BUCKET_LENGTH.as_micros() as u64
 }
 
 fn rounded(speed: f64) -> f64 {
     if (speed - 1.0).abs() < DEAD_BAND {
         return 1.0;
     }
-    ((speed / SPEED_STEP).round() * SPEED_STEP).max(LEAST_SPEED)
+    ((speed / SPEED_STEP).round() * SPEED_STEP).max(MIN_SPEED)
 }
 
 fn median(values: &mut [f64]) -> f64 {
