--- a/decision/experts/src/manager.rs
+++ b/decision/experts/src/manager.rs
@@ -144,7 +144,7 @@
             switching: false,
             allowance: self.notes.allowance,
         };
-        let verdict = self.planner.look(now, &group.decided.map, conditions);
+        let verdict = self.planner.evaluate(now, &group.decided.map, conditions);
         self.notes.plan = Some(PlanNote::of(&verdict));
         self.notes.looked = Some(now);
         if let Verdict::Propose(plan) = verdict {
--- a/decision/experts/src/plan/planner.rs
+++ b/decision/experts/src/plan/planner.rs
@@ -223,7 +223,7 @@
     }
 
     /// Evaluates whether the group should replace `map`, its current one.
-    pub fn look(&mut self, now: Time, map: &ExpertMap, conditions: Conditions) -> Verdict {
+    pub fn evaluate(&mut self, now: Time, map: &ExpertMap, conditions: Conditions) -> Verdict {
         let demand = self.demand(now);
         if map.check(&self.layout).is_err() {
             return decline(Declined::Invalid, Forecast::default());
--- a/decision/experts/tests/it/planner.rs
+++ b/decision/experts/tests/it/planner.rs
@@ -117,7 +117,7 @@
             allowance: u64::MAX,
             ..Conditions::default()
         };
-        verdicts.push(planner.look(at(tick), &map, conditions));
+        verdicts.push(planner.evaluate(at(tick), &map, conditions));
     }
     (planner, map, verdicts)
 }
@@ -157,7 +157,7 @@
             switching,
             allowance: u64::MAX,
         };
-        let verdict = planner.look(at(600), &map, conditions);
+        let verdict = planner.evaluate(at(600), &map, conditions);
         assert!(matches!(verdict, Verdict::Decline { reason, .. } if reason == expected));
     }
 }
--- a/dev/bench/src/bin/expert_plan.rs
+++ b/dev/bench/src/bin/expert_plan.rs
@@ -232,7 +232,7 @@
             allowance: budget.allowance(&group, HOURLY, now),
             ..Conditions::default()
         };
-        match planner.look(now, &map, conditions) {
+        match planner.evaluate(now, &map, conditions) {
             Verdict::Propose(plan) => {
                 let cost = PlanCost {
                     id: OrderId::from(format!("plan-{tick}")),
