--- a/decision/consensus/tests/it/scenario.rs
+++ b/decision/consensus/tests/it/scenario.rs
@@ -98,14 +98,14 @@
 #[test]
 fn follower_that_receives_nothing_does_not_disturb_the_leader() {
     let mut world = stable_world(5, 3);
-    let before = (leader(&world), term(&world));
+    let (old_leader, old_term) = (leader(&world), term(&world));
     let isolated = follower(&world);
     world.cut_off(isolated, false, true);
     world.run(Duration::from_secs(60));
-    assert_eq!((leader(&world), term(&world)), before);
+    assert_eq!((leader(&world), term(&world)), (old_leader, old_term));
     world.heal();
     world.run(SETTLE);
-    assert_eq!((leader(&world), term(&world)), before);
+    assert_eq!((leader(&world), term(&world)), (old_leader, old_term));
 }
 
 #[test]
