--- a/decision/experts/src/budget.rs
+++ b/decision/experts/src/budget.rs
@@ -133,7 +133,7 @@
     }
 
     /// Frees a share before it runs out.
-    pub fn give_back(&mut self, id: &OrderId) {
+    pub fn release(&mut self, id: &OrderId) {
         self.leases.remove(id);
         self.waiting.remove(id);
     }
--- a/decision/experts/src/decisions.rs
+++ b/decision/experts/src/decisions.rs
@@ -112,7 +112,7 @@
                 None => Reply::Refused(Refusal::Budget),
             },
             Command::GiveBack(id) => {
-                self.budget.give_back(id);
+                self.budget.release(id);
                 Reply::Done
             }
             Command::Spend {
--- a/decision/experts/tests/it/budget.rs
+++ b/decision/experts/tests/it/budget.rs
@@ -41,7 +41,7 @@
             now += Duration::from_millis(pause);
             let name = format!("load-{id}");
             if back {
-                budget.give_back(&OrderId::from(name.as_str()));
+                budget.release(&OrderId::from(name.as_str()));
                 held.remove(&id);
             } else {
                 let purpose = if cold { Purpose::ColdStart } else { Purpose::Rebalance };
@@ -92,7 +92,7 @@
     now += LEASE;
     assert_eq!(rate(budget.lease(&cold, now)), 800);
     assert_eq!(rate(budget.lease(&moving, now)), 200);
-    budget.give_back(&cold.id);
+    budget.release(&cold.id);
     assert_eq!(rate(budget.lease(&moving, now)), RATE);
 }
 
--- a/dev/bench/src/bin/expert_cost.rs
+++ b/dev/bench/src/bin/expert_cost.rs
@@ -157,7 +157,7 @@
             if job.left > 0.0 {
                 return true;
             }
-            budget.give_back(&job.id);
+            budget.release(&job.id);
             let took = now.since(job.start).as_secs_f64();
             match job.purpose {
                 Purpose::ColdStart => tally.cold.push(took),
