--- a/decision/experts/tests/it/group.rs
+++ b/decision/experts/tests/it/group.rs
@@ -11,7 +11,7 @@
 };
 use pimentotide_model::{GroupName, Incarnation, InstanceName, Time};
 
-use crate::network::{Fault, Line};
+use crate::network::{Fault, Network};
 
 /// Ranks in the group.
 pub(crate) const RANKS: u16 = 4;
@@ -77,7 +77,7 @@
     queue: BinaryHeap<Reverse<(Time, u64)>>,
     events: BTreeMap<u64, Event>,
     next: u64,
-    pub(crate) line: Line,
+    pub(crate) network: Network,
     pub(crate) log: Decisions,
     name: GroupName,
     coordinator: Option<Coordinator>,
@@ -88,7 +88,7 @@
     started: BTreeMap<(Epoch, u64), BTreeMap<u16, MapId>>,
     pub(crate) violations: Vec<String>,
     last_step: Time,
-    pub(crate) longest: Duration,
+    pub(crate) longest_gap: Duration,
     pub(crate) steps: u64,
     target: ExpertMap,
     pub(crate) fails_load: Option<u16>,
@@ -106,7 +106,7 @@
 
 impl Group {
     /// Forms a group and proposes another map later.
-    pub(crate) fn new(line: Line) -> Self {
+    pub(crate) fn new(network: Network) -> Self {
         let name = GroupName::from("group");
         let mut log = Decisions::default();
         let form = Command::Form {
@@ -120,7 +120,7 @@
             queue: BinaryHeap::new(),
             events: BTreeMap::new(),
             next: 0,
-            line,
+            network,
             log,
             name,
             coordinator: None,
@@ -131,7 +131,7 @@
             started: BTreeMap::new(),
             violations: Vec::new(),
             last_step: Time::ZERO,
-            longest: Duration::ZERO,
+            longest_gap: Duration::ZERO,
             steps: 0,
             target: map(5),
             fails_load: None,
@@ -163,7 +163,7 @@
             self.handle(event);
         }
         self.now = end;
-        self.longest = self.longest.max(end.since(self.last_step));
+        self.longest_gap = self.longest_gap.max(end.since(self.last_step));
     }
 
     /// Present time.
@@ -426,12 +426,12 @@
         if !self.alive(from) {
             return;
         }
-        let verdict = self.line.pass(from, to);
-        for delay in verdict.delays {
+        let transmission = self.network.transmit(from, to);
+        for delay in transmission.delays {
             let content = content.clone();
             self.after(delay, Event::Deliver { to, content });
         }
-        match verdict.fault {
+        match transmission.fault {
             Some(Fault::KillSender) => self.kill(from),
             Some(Fault::KillReceiver) => self.kill(to),
             Some(Fault::KillControl) => self.kill(Process::Control),
@@ -467,7 +467,7 @@
     }
 
     fn step_done(&mut self, epoch: Epoch, step: u64) {
-        self.longest = self.longest.max(self.now.since(self.last_step));
+        self.longest_gap = self.longest_gap.max(self.now.since(self.last_step));
         self.last_step = self.now;
         self.steps += 1;
         for rank in 0..RANKS {
--- a/decision/experts/tests/it/network.rs
+++ b/decision/experts/tests/it/network.rs
@@ -45,20 +45,20 @@
 }
 
 /// When a message arrives, and what else happens.
-pub(crate) struct Passage {
+pub(crate) struct Transmission {
     pub(crate) delays: Vec<Duration>,
     pub(crate) fault: Option<Fault>,
 }
 
-/// Line between all processes.
-pub(crate) struct Line {
+/// Network between all processes.
+pub(crate) struct Network {
     count: u64,
     faults: BTreeMap<u64, Fault>,
     loss: f64,
     rng: ChaCha8Rng,
 }
 
-impl Line {
+impl Network {
     /// A line that fails at the messages of these numbers.
     pub(crate) fn with_faults<I>(faults: I) -> Self
     where
@@ -93,11 +93,11 @@
     }
 
     /// Passes one message on.
-    pub(crate) fn pass(&mut self, from: Process, to: Process) -> Passage {
+    pub(crate) fn transmit(&mut self, from: Process, to: Process) -> Transmission {
         if from == to && from != Process::Control {
             // Machines in one process call each other; the log is not one of them.
             let delays = vec![Duration::ZERO];
-            return Passage {
+            return Transmission {
                 delays,
                 fault: None,
             };
@@ -114,7 +114,7 @@
             Some(Fault::Late) => vec![LATE],
             _ => vec![DELAY],
         };
-        Passage { delays, fault }
+        Transmission { delays, fault }
     }
 
     fn draw(&mut self) -> Option<Fault> {
--- a/decision/experts/tests/it/switch.rs
+++ b/decision/experts/tests/it/switch.rs
@@ -8,7 +8,7 @@
 use rand_chacha::ChaCha8Rng;
 
 use crate::group::Group;
-use crate::network::{Fault, Line};
+use crate::network::{Fault, Network};
 
 /// Time at which the map is proposed.
 const PROPOSED: Time = Time::from_millis(990);
@@ -29,18 +29,18 @@
 const PAIRS: usize = 200;
 
 fn message_range() -> (u64, u64) {
-    let mut group = Group::new(Line::with_faults([]));
+    let mut group = Group::new(Network::with_faults([]));
     group.run(PROPOSED);
-    let first = group.line.count();
+    let first = group.network.count();
     group.run(ENDED);
-    (first, group.line.count())
+    (first, group.network.count())
 }
 
 fn violations<I>(faults: I) -> Vec<String>
 where
     I: IntoIterator<Item = (u64, Fault)>,
 {
-    let mut group = Group::new(Line::with_faults(faults));
+    let mut group = Group::new(Network::with_faults(faults));
     group.run(SETTLED);
     while group.now() < RECOVERED && !group.is_settled() {
         group.run(group.now() + LOOK);
@@ -51,14 +51,14 @@
 
 #[test]
 fn undisturbed_switch_stalls_no_step() {
-    let mut group = Group::new(Line::with_faults([]));
+    let mut group = Group::new(Network::with_faults([]));
     group.run(PROPOSED);
-    let before = group.longest;
+    let before = group.longest_gap;
     group.run(ENDED);
     group.check_settled();
     assert_eq!(group.violations, Vec::<String>::new());
     assert_eq!(group.ending(), Some(Ending::Settled(MapId(2))));
-    assert_eq!(group.longest, before);
+    assert_eq!(group.longest_gap, before);
 }
 
 fn check_each_message(faults: &[Fault]) {
@@ -126,9 +126,9 @@
 #[test]
 fn random_loss_delay_and_duplication() {
     for seed in 0..20 {
-        let mut group = Group::new(Line::with_loss(0.3, seed));
+        let mut group = Group::new(Network::with_loss(0.3, seed));
         group.run(RECOVERED);
-        group.line.heal();
+        group.network.heal();
         group.run(RECOVERED + (RECOVERED.since(Time::ZERO)));
         group.check_settled();
         assert_eq!(group.violations, Vec::<String>::new(), "seed {seed}");
@@ -138,7 +138,7 @@
 
 #[test]
 fn failed_load_leaves_the_group_on_the_old_map() {
-    let mut group = Group::new(Line::with_faults([]));
+    let mut group = Group::new(Network::with_faults([]));
     group.fails_load = Some(2);
     group.run(RECOVERED);
     group.check_settled();
--- a/dev/bench/src/bin/expert_switch.rs
+++ b/dev/bench/src/bin/expert_switch.rs
@@ -19,7 +19,7 @@
 mod rival;
 
 use group::{Group, PROPOSAL, STEP};
-use network::{Fault, Line};
+use network::{Fault, Network};
 use rival::{Rival, Way};
 
 /// Time after the proposal by which an undisturbed switch has ended.
@@ -52,28 +52,28 @@
 }
 
 /// Runs one switch; returns the longest stall and the messages sent by two times.
-fn run(contender: Contender, line: Line, heal: bool) -> (Duration, u64, u64) {
+fn run(contender: Contender, network: Network, heal: bool) -> (Duration, u64, u64) {
     let start = Time::ZERO + PROPOSAL - Duration::from_millis(10);
     let times = [start, start + SWITCH, start + END];
     let mut counts = Vec::new();
     let longest = match contender {
         Contender::Granted => {
-            let mut group = Group::new(line);
+            let mut group = Group::new(network);
             group.run(start);
             // The time that the group takes to form is not part of the switch.
-            group.longest = Duration::ZERO;
+            group.longest_gap = Duration::ZERO;
             for time in times {
                 group.run(time);
-                counts.push(group.line.count());
+                counts.push(group.network.count());
                 if heal && counts.len() == 2 {
-                    group.line.heal();
+                    group.network.heal();
                 }
             }
             assert!(group.violations.is_empty(), "{:?}", group.violations);
-            group.longest
+            group.longest_gap
         }
         Contender::Rival(way) => {
-            let mut rival = Rival::new(way, line);
+            let mut rival = Rival::new(way, network);
             rival.run(start);
             rival.longest = Duration::ZERO;
             for time in times {
@@ -91,16 +91,16 @@
 
 /// Stalls with one fault at each message of the switch.
 fn each_message(contender: Contender, fault: Fault) -> Vec<Duration> {
-    let (_, first, last) = run(contender, Line::with_faults([]), false);
+    let (_, first, last) = run(contender, Network::with_faults([]), false);
     let messages = first + 1..=last;
     messages
-        .map(|message| run(contender, Line::with_faults([(message, fault)]), false).0)
+        .map(|message| run(contender, Network::with_faults([(message, fault)]), false).0)
         .collect()
 }
 
 fn random(contender: Contender) -> Vec<Duration> {
     (0..SEEDS)
-        .map(|seed| run(contender, Line::with_loss(LOSS, seed), true).0)
+        .map(|seed| run(contender, Network::with_loss(LOSS, seed), true).0)
         .collect()
 }
 
@@ -124,7 +124,7 @@
     );
     let mut line = format!("{:14}", "none");
     for contender in contenders {
-        let stall = run(contender, Line::with_faults([]), false).0;
+        let stall = run(contender, Network::with_faults([]), false).0;
         line += &format!(" {:>18}", cell(&mut [stall]));
     }
     println!("{line}");
--- a/dev/bench/src/rival.rs
+++ b/dev/bench/src/rival.rs
@@ -12,7 +12,7 @@
 use pimentotide_model::Time;
 
 use crate::group::{ELECTION, PROPOSAL, Process, RANKS, RESTART, STEP, TICK};
-use crate::network::{Fault, Line};
+use crate::network::{Fault, Network};
 
 /// Time that the first rank takes to load its weights after a restart; others take longer.
 const RELOAD: Duration = Duration::from_millis(150);
@@ -76,7 +76,7 @@
     queue: BinaryHeap<Reverse<(Time, u64)>>,
     events: BTreeMap<u64, Event>,
     next: u64,
-    line: Line,
+    network: Network,
     control: Option<BTreeMap<u16, u64>>,
     heard: BTreeSet<u16>,
     control_start: u64,
@@ -89,7 +89,7 @@
 }
 
 impl Rival {
-    pub(crate) fn new(way: Way, line: Line) -> Self {
+    pub(crate) fn new(way: Way, network: Network) -> Self {
         let rank = || Rank {
             alive: true,
             ready: true,
@@ -104,7 +104,7 @@
             queue: BinaryHeap::new(),
             events: BTreeMap::new(),
             next: 0,
-            line,
+            network,
             control: Some(BTreeMap::new()),
             heard: BTreeSet::new(),
             control_start: 0,
@@ -135,11 +135,11 @@
     }
 
     pub(crate) fn count(&self) -> u64 {
-        self.line.count()
+        self.network.count()
     }
 
     pub(crate) fn heal(&mut self) {
-        self.line.heal();
+        self.network.heal();
     }
 
     fn after(&mut self, delay: Duration, event: Event) {
@@ -218,11 +218,11 @@
         if !self.alive(from) {
             return;
         }
-        let passage = self.line.pass(from, to);
-        for delay in passage.delays {
+        let transmission = self.network.transmit(from, to);
+        for delay in transmission.delays {
             self.after(delay, Event::Deliver(to, note));
         }
-        match passage.fault {
+        match transmission.fault {
             Some(Fault::KillSender) => self.kill(from),
             Some(Fault::KillReceiver) => self.kill(to),
             Some(Fault::KillControl) => self.kill(Process::Control),
