--- a/decision/experts/src/budget.rs
+++ b/decision/experts/src/budget.rs
@@ -1,10 +1,10 @@
-//! One budget of the weights store for the whole deployment, in leased shares.
+//! Deployment-wide budget of the weights store, granted as leased shares.
 //!
 //! The store serves a fixed rate. A holder leases a share of it for a short
-//! time; the shares of all leases in force never exceed the rate. Cold starts
-//! go first: while one waits for a share, rebalancing gets no new lease, and
-//! the leases that it holds run out soon. Each group also has a bucket of bytes
-//! that rebalancing may move.
+//! time; the shares of all unexpired leases never exceed the rate. Cold starts
+//! have priority: while one waits for a share, rebalancing gets no lease and no
+//! renewal, so its leases expire within `LEASE`. A token bucket per group limits
+//! the bytes that rebalancing may move.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -13,77 +13,77 @@
 use pimentotide_model::{GroupName, OrderId, Time};
 use serde::{Deserialize, Serialize};
 
-/// Length of a lease.
+/// Duration of a lease.
 pub const LEASE: Duration = Duration::from_secs(5);
 
-/// Time by which a holder stops before its lease ends, for differing clocks.
+/// Time before the expiry at which a holder stops; covers clock differences.
 pub const LEASE_MARGIN: Duration = Duration::from_millis(250);
 
-/// Time for which a cold start that got too little holds rebalancing back.
-const WAIT: Duration = Duration::from_secs(10);
+/// Time for which a cold start that got less than it asked for blocks rebalancing.
+const COLD_START_WAIT: Duration = Duration::from_secs(10);
 
-/// Leases and waiting cold starts kept at most.
+/// Maximum number of leases, and of waiting cold starts.
 const MAX_LEASES: usize = 1024;
 
-/// Time over which the bucket of a group fills.
-const BUCKET_FILL: Duration = Duration::from_secs(3600);
+/// Time in which the bucket of a group fills from empty.
+const BUCKET_FILL_TIME: Duration = Duration::from_secs(3600);
 
-/// What weights are loaded for.
+/// Reason for loading weights.
 #[derive(
     Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(rename_all = "snake_case")]
 pub enum Purpose {
-    /// An upstream that holds nothing yet.
+    /// Loading of an upstream that holds no weights yet.
     #[display("cold start")]
     ColdStart,
-    /// A better expert map.
+    /// Switch to a better expert map.
     #[display("rebalance")]
     Rebalance,
 }
 
-/// Share of the store's rate.
+/// Leased share of the store's rate.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Lease {
-    /// What the weights are for.
+    /// Reason for the load.
     pub purpose: Purpose,
-    /// Rate, bytes in a second.
+    /// Rate, bytes per second.
     pub rate: u64,
-    /// When the share is free again.
+    /// Expiry.
     pub until: Time,
 }
 
 /// Request for a share.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseRequest {
-    /// Load that the share is for; the same when the request is resent or renewed.
+    /// Identifier of the load; the same when the request is resent or renewed.
     pub id: OrderId,
-    /// What the weights are for.
+    /// Reason for the load.
     pub purpose: Purpose,
-    /// Rate asked for, bytes in a second.
+    /// Requested rate, bytes per second.
     pub rate: u64,
 }
 
-/// Bytes that one plan moves.
+/// Cost of a plan.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PlanCost {
-    /// Identifier of the plan, the same when the command is resent.
+    /// Identifier of the plan; the same when the command is resent.
     pub id: OrderId,
-    /// Bytes.
+    /// Bytes that the plan moves.
     pub bytes: u64,
 }
 
-/// Bytes that rebalancing may still move in one group.
+/// Token bucket of the bytes that rebalancing may move in one group.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 struct Bucket {
     hourly: u64,
     level: u64,
     at: Time,
-    /// What was paid for last, so that a resent command takes nothing more.
+    /// Plan charged last, so that a resent command is not charged again.
     last: Option<OrderId>,
 }
 
-/// Shares and buckets of the whole deployment.
+/// Leases and token buckets of the whole deployment.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Budget {
     rate: u64,
@@ -93,34 +93,35 @@
 }
 
 impl Budget {
-    /// Sets the rate of the store, bytes in a second.
+    /// Sets the rate of the store, bytes per second.
     pub fn set_rate(&mut self, rate: u64) {
         self.rate = rate;
     }
 
-    /// Rate of the store, bytes in a second.
+    /// Rate of the store, bytes per second.
     pub fn rate(&self) -> u64 {
         self.rate
     }
 
-    /// Sum of the shares in force.
+    /// Sum of the unexpired shares, bytes per second.
     pub fn used(&self, now: Time) -> u64 {
         let leases = self.leases.values().filter(|l| l.until > now);
         leases.map(|l| l.rate).sum()
     }
 
-    /// Leases a share, or renews one; none if there is nothing to give.
+    /// Grants or renews a lease; `None` if no rate is available.
     ///
-    /// A renewal replaces the share held under the same identifier.
+    /// A renewal replaces the lease with the same identifier. The granted rate may
+    /// be below the requested one.
     pub fn lease(&mut self, request: &LeaseRequest, now: Time) -> Option<Lease> {
         self.expire(now);
         let held = self.leases.get(&request.id).map_or(0, |l| l.rate);
         let free = self.rate.saturating_sub(self.used(now) - held);
         let blocked = request.purpose == Purpose::Rebalance && !self.waiting.is_empty();
         let rate = if blocked { 0 } else { request.rate.min(free) };
-        self.note_waiting(request, rate, now);
-        let known = self.leases.contains_key(&request.id);
-        if rate == 0 || (!known && self.leases.len() >= MAX_LEASES) {
+        self.update_waiting(request, rate, now);
+        let renewal = self.leases.contains_key(&request.id);
+        if rate == 0 || (!renewal && self.leases.len() >= MAX_LEASES) {
             return None;
         }
         let lease = Lease {
@@ -132,27 +133,27 @@
         Some(lease)
     }
 
-    /// Frees a share before it runs out.
+    /// Releases a lease before it expires.
     pub fn release(&mut self, id: &OrderId) {
         self.leases.remove(id);
         self.waiting.remove(id);
     }
 
-    /// Drops leases and waits that have run out.
+    /// Removes expired leases and waits.
     pub fn expire(&mut self, now: Time) {
         self.leases.retain(|_, l| l.until > now);
         self.waiting.retain(|_, until| *until > now);
     }
 
-    /// Bytes that rebalancing may move in `group` now, at `hourly` bytes an hour.
+    /// Bytes that rebalancing may move in `group` now, at `hourly` bytes per hour.
     pub fn allowance(&self, group: &GroupName, hourly: u64, now: Time) -> u64 {
         let filled = |bucket: &Bucket| bucket.level_at(hourly, now);
         self.buckets.get(group).map_or(hourly, filled)
     }
 
-    /// Pays for a plan out of the bucket of `group`; false if it holds too little.
+    /// Charges a plan to the bucket of `group`; false if the bucket holds too little.
     ///
-    /// A plan under the same identifier as the last one is paid for already.
+    /// A plan with the identifier of the last one was charged already.
     pub fn spend(&mut self, group: &GroupName, hourly: u64, plan: &PlanCost, now: Time) -> bool {
         let last = self.buckets.get(group).and_then(|b| b.last.as_ref());
         if last == Some(&plan.id) {
@@ -172,23 +173,24 @@
         true
     }
 
-    fn note_waiting(&mut self, request: &LeaseRequest, rate: u64, now: Time) {
+    fn update_waiting(&mut self, request: &LeaseRequest, rate: u64, now: Time) {
         if request.purpose != Purpose::ColdStart {
             return;
         }
         if rate >= request.rate.min(self.rate) {
             self.waiting.remove(&request.id);
         } else if self.waiting.len() < MAX_LEASES || self.waiting.contains_key(&request.id) {
-            self.waiting.insert(request.id.clone(), now + WAIT);
+            self.waiting
+                .insert(request.id.clone(), now + COLD_START_WAIT);
         }
     }
 }
 
 impl Bucket {
-    /// Bytes in the bucket at `now` if it fills at `hourly` bytes an hour.
+    /// Bytes in the bucket at `now` if it fills at `hourly` bytes per hour.
     fn level_at(&self, hourly: u64, now: Time) -> u64 {
         let elapsed = now.since(self.at).as_micros();
-        let gained = u128::from(hourly) * elapsed / BUCKET_FILL.as_micros();
+        let gained = u128::from(hourly) * elapsed / BUCKET_FILL_TIME.as_micros();
         let level = u128::from(self.level) + gained;
         u64::try_from(level).unwrap_or(u64::MAX).min(hourly)
     }
--- a/decision/experts/src/command.rs
+++ b/decision/experts/src/command.rs
@@ -1,4 +1,4 @@
-//! Commands of the replicated log and the replies to them.
+//! Commands of the replicated log and their replies.
 
 use std::sync::Arc;
 
@@ -11,14 +11,14 @@
     PlanCost, Progress,
 };
 
-/// Change to the decided maps, replicated before it takes effect.
+/// Change to the replicated state; takes effect once it is committed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Command {
-    /// Brings a group into being with its first map.
+    /// Creates a group with its first map.
     Form {
         /// Group.
         group: GroupName,
-        /// Shape of the group.
+        /// Layout of the group.
         layout: Layout,
         /// First map.
         map: Arc<ExpertMap>,
@@ -27,54 +27,54 @@
     Take {
         /// Group.
         group: GroupName,
-        /// Instance that coordinates from now on.
+        /// Instance that becomes the coordinator.
         holder: InstanceName,
-        /// Number that is the same when the command is resent.
+        /// Identifies the start of the instance; the same when the command is resent.
         nonce: u64,
     },
-    /// Opens a new term of the rank that leads the steps.
+    /// Opens a new term for the agent of the leading rank.
     Lead {
         /// Group.
         group: GroupName,
-        /// Start of the leading rank's agent.
+        /// Incarnation of the leading rank's agent.
         incarnation: Incarnation,
     },
-    /// Tells a rank that has started the floor of fencing numbers.
+    /// Admits a rank whose agent has started; the reply holds its floor of fencing tokens.
     Admit {
         /// Group.
         group: GroupName,
-        /// Fencing number of the coordinator.
+        /// Fencing token of the coordinator.
         fence: Fence,
         /// Rank.
         rank: u16,
-        /// Start of the rank's agent.
+        /// Incarnation of the rank's agent.
         incarnation: Incarnation,
     },
-    /// Gives a map an identity, so that ranks may load it.
+    /// Assigns a map its identity, so that ranks can load it.
     Stage {
         /// Group.
         group: GroupName,
-        /// Fencing number of the coordinator.
+        /// Fencing token of the coordinator.
         fence: Fence,
         /// Map.
         map: Arc<ExpertMap>,
     },
-    /// Decides that a staged map follows the one in force.
+    /// Decides that a staged map replaces the current one.
     Decide {
         /// Group.
         group: GroupName,
-        /// Fencing number of the coordinator.
+        /// Fencing token of the coordinator.
         fence: Fence,
         /// Map.
         id: MapId,
         /// First step that may run under the map.
         step: u64,
     },
-    /// Gives up a staged map.
+    /// Abandons a staged map.
     Abandon {
         /// Group.
         group: GroupName,
-        /// Fencing number of the coordinator.
+        /// Fencing token of the coordinator.
         fence: Fence,
         /// Map.
         id: MapId,
@@ -83,114 +83,114 @@
     Settle {
         /// Group.
         group: GroupName,
-        /// Fencing number of the coordinator.
+        /// Fencing token of the coordinator.
         fence: Fence,
         /// Map.
         id: MapId,
-        /// Step that all ranks have run under it.
+        /// Step that every rank has reached under the map.
         step: u64,
     },
-    /// Sets the rate of the weights store, bytes in a second.
+    /// Sets the rate of the weights store, bytes per second.
     SetRate(u64),
     /// Leases a share of the weights store.
     Borrow(LeaseRequest),
-    /// Gives a share back.
+    /// Releases a leased share.
     GiveBack(OrderId),
-    /// Takes bytes out of what rebalancing may move in a group.
+    /// Charges a plan to the bytes that rebalancing may move in a group.
     Spend {
         /// Group.
         group: GroupName,
-        /// Bytes allowed in an hour.
+        /// Bytes allowed per hour.
         hourly: u64,
-        /// Plan to pay for.
+        /// Plan to charge.
         plan: PlanCost,
     },
-    /// Orders an upstream into another state.
+    /// Orders an upstream to change its state.
     Order {
         /// Upstream.
         upstream: UpstreamName,
-        /// Identifier, the same when the order is resent.
+        /// Identifier; the same when the order is resent.
         id: OrderId,
         /// State to reach.
         change: Change,
     },
-    /// Records how an order has ended.
+    /// Records the final progress of an order.
     Finish {
         /// Upstream.
         upstream: UpstreamName,
         /// Identifier of the order.
         id: OrderId,
-        /// How it has ended.
+        /// Final progress.
         end: Progress,
     },
-    /// Drops what is past its window.
+    /// Removes expired leases and waits.
     Expire,
 }
 
-/// Why a command changed nothing.
+/// Reason why a command was rejected; a rejected command changes no state.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Refusal {
-    /// The command carries an old fencing number.
-    #[display("old fencing number")]
+    /// The command carries an outdated fencing token.
+    #[display("outdated fencing token")]
     Fenced,
     /// The group does not exist.
     #[display("unknown group")]
     UnknownGroup,
-    /// The group exists with another shape.
-    #[display("the group exists")]
+    /// The group exists with another layout.
+    #[display("the group exists with another layout")]
     Exists,
-    /// No further group fits.
-    #[display("no room")]
+    /// The maximum number of groups is reached.
+    #[display("too many groups")]
     Full,
     /// Another switch has not ended.
-    #[display("a switch is in flight")]
+    #[display("another switch is in flight")]
     InFlight,
     /// The map is neither staged nor decided.
     #[display("the map is not staged")]
     NotStaged,
-    /// There is nothing left of the budget.
-    #[display("the budget is used up")]
+    /// The budget is exhausted.
+    #[display("the budget is exhausted")]
     Budget,
     /// The identifier belongs to another order.
     #[display("the identifier belongs to another order")]
     KeyMismatch,
-    /// The map does not fit the group.
-    #[display("the map does not fit: {_0}")]
+    /// The map is invalid for the layout of the group.
+    #[display("invalid map: {_0}")]
     BadMap(MapError),
 }
 
-/// Answer to a command.
+/// Reply to a committed command.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Reply {
-    /// Nothing to tell.
+    /// The command was applied.
     Done,
-    /// The sender coordinates the group under this fencing number.
+    /// The sender coordinates the group under this fencing token.
     Taken {
-        /// Fencing number.
+        /// Fencing token.
         fence: Fence,
-        /// Group as it stands.
+        /// Current state of the group.
         group: Box<GroupState>,
     },
-    /// The sender leads the steps under this number.
+    /// The sender leads the steps in this term.
     Leading {
-        /// Fencing number of the term.
+        /// Fencing token of the term.
         fence: Fence,
-        /// Map decided last.
+        /// Latest decided map.
         decided: DecidedMap,
     },
-    /// The rank belongs to the group.
+    /// The rank is admitted.
     Admitted {
         /// Rank.
         rank: u16,
-        /// Start of the rank's agent.
+        /// Incarnation of the rank's agent.
         incarnation: Incarnation,
-        /// Fencing numbers below this one are refused.
+        /// Lowest fencing token that the rank may accept.
         floor: Fence,
-        /// Map decided last.
+        /// Latest decided map.
         decided: DecidedMap,
     },
-    /// The map has this identity.
+    /// The map is staged under this identity.
     Staged(MapId),
     /// The map is decided.
     Decided(DecidedMap),
@@ -198,12 +198,12 @@
     Abandoned(MapId),
     /// The switch has ended.
     Settled(MapId),
-    /// The plan of this identifier is paid for.
+    /// The plan with this identifier is charged.
     Paid(OrderId),
     /// A share of the weights store.
     Leased(Lease),
-    /// The order as it is committed.
+    /// The order as committed.
     Ordered(Order),
-    /// The command changed nothing.
+    /// The command was rejected.
     Refused(Refusal),
 }
--- a/decision/experts/src/decisions.rs
+++ b/decision/experts/src/decisions.rs
@@ -1,9 +1,9 @@
-//! Decided maps and fencing numbers, equal on every replica of the log.
+//! Decided maps and fencing tokens: state machine of the replicated log.
 //!
-//! A map is staged, then decided or abandoned, once: the log orders the
-//! commands of rival coordinators, and a command under an old fencing number
-//! changes nothing. A map's content is in the log before any rank loads it, so
-//! whoever takes over can finish or abandon the switch.
+//! A map is staged, then either decided or abandoned, exactly once: the log
+//! orders the commands of competing coordinators and rejects those with an
+//! outdated fencing token. A map's content is in the log before any rank loads
+//! it, so a new coordinator can finish or abandon the switch.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -13,30 +13,30 @@
 
 use crate::{Budget, Change, Command, ExpertMap, Layout, MapId, OrderLog, Refusal, Reply};
 
-/// Groups that are kept at most.
+/// Maximum number of groups.
 const MAX_GROUPS: usize = 64;
 
-/// Map that ranks run under from a step on.
+/// Map that ranks run under from its step on.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct DecidedMap {
     /// Identity.
     pub id: MapId,
     /// Content.
     pub map: Arc<ExpertMap>,
-    /// First step that may run under it.
+    /// First step that may run under the map.
     pub step: u64,
-    /// Whether all ranks have run a step under it.
+    /// Whether every rank has run a step under the map.
     pub settled: bool,
 }
 
-/// Map that ranks load.
+/// Map that ranks load, not decided yet.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct StagedMap {
     /// Identity.
     pub id: MapId,
     /// Content.
     pub map: Arc<ExpertMap>,
-    /// When it was staged.
+    /// Time at which it was staged.
     pub at: Time,
 }
 
@@ -48,23 +48,23 @@
     fence: Fence,
 }
 
-/// One group as the log has decided it.
+/// Replicated state of one group.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct GroupState {
-    /// Shape of the group.
+    /// Nodes, slots and sizes of the group.
     pub layout: Layout,
-    /// Map decided last.
+    /// Latest decided map.
     pub decided: DecidedMap,
-    /// Map that follows it, if one is being loaded.
+    /// Map that ranks load to replace it, if a switch is in flight.
     pub staged: Option<StagedMap>,
-    /// Map that preceded the decided one, until that is settled.
+    /// Predecessor of the decided map, until the latter is settled.
     pub previous: Option<MapId>,
     last: MapId,
     holder: Option<Holder>,
     leader: Option<(Incarnation, Fence)>,
 }
 
-/// Decided maps and fencing numbers of all groups, equal on every replica.
+/// Replicated state of all groups, the budget and the orders; equal on every replica.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Decisions {
     fence: Fence,
@@ -74,7 +74,7 @@
 }
 
 impl Decisions {
-    /// Applies one committed command; `at` never goes back.
+    /// Applies one committed command; `at` must not decrease.
     pub fn apply(&mut self, command: &Command, at: Time) -> Reply {
         match command {
             Command::Form { group, layout, map } => self.form(group, layout, map),
@@ -159,7 +159,7 @@
         &self.groups
     }
 
-    /// Highest fencing number given out.
+    /// Highest fencing token assigned.
     pub fn fence(&self) -> Fence {
         self.fence
     }
@@ -197,7 +197,7 @@
         };
         let resent = |h: &&Holder| h.name == *holder && h.nonce == nonce;
         let fence = match group.holder.as_ref().filter(resent) {
-            Some(known) => known.fence,
+            Some(current) => current.fence,
             None => {
                 self.fence = self.fence.next();
                 group.holder = Some(Holder {
@@ -219,8 +219,8 @@
             return Reply::Refused(Refusal::UnknownGroup);
         };
         let fence = match group.leader {
-            Some((known, _)) if known > incarnation => return Reply::Refused(Refusal::Fenced),
-            Some((known, fence)) if known == incarnation => fence,
+            Some((current, _)) if current > incarnation => return Reply::Refused(Refusal::Fenced),
+            Some((current, fence)) if current == incarnation => fence,
             _ => {
                 self.fence = self.fence.next();
                 group.leader = Some((incarnation, self.fence));
@@ -239,7 +239,7 @@
     {
         match self.groups.get_mut(name) {
             None => Reply::Refused(Refusal::UnknownGroup),
-            Some(group) if group.holds(fence) => change(group),
+            Some(group) if group.is_held_under(fence) => change(group),
             Some(_) => Reply::Refused(Refusal::Fenced),
         }
     }
@@ -264,24 +264,24 @@
         }
     }
 
-    /// Whether a rank may still need the map.
+    /// Whether a rank may still need the map; true for identities not assigned here yet.
     pub fn needs(&self, id: MapId) -> bool {
         let staged = self.staged.as_ref().map(|s| s.id);
         id == self.decided.id || Some(id) == staged || Some(id) == self.previous || id > self.last
     }
 
-    /// Identity given out last.
-    pub(crate) fn last(&self) -> MapId {
+    /// Highest identity assigned.
+    pub(crate) fn last_id(&self) -> MapId {
         self.last
     }
 
-    /// Takes over what the log has replied to a staged map.
-    pub(crate) fn note_staged(&mut self, staged: StagedMap) {
+    /// Records a map that the log has staged.
+    pub(crate) fn record_staged(&mut self, staged: StagedMap) {
         self.last = self.last.max(staged.id);
         self.staged = Some(staged);
     }
 
-    fn holds(&self, fence: Fence) -> bool {
+    fn is_held_under(&self, fence: Fence) -> bool {
         self.holder.as_ref().is_some_and(|h| h.fence == fence)
     }
 
--- a/decision/experts/src/lib.rs
+++ b/decision/experts/src/lib.rs
@@ -1,9 +1,9 @@
-//! Expert maps: planning, switching and rebalancing cost.
+//! Expert maps: planning, switching and the cost of rebalancing.
 //!
-//! The planner decides whether a group of ranks should leave its expert map and
-//! for which one. The switch brings all ranks from one map to the next so that
-//! each step runs under one map. The decisions that must survive are commands
-//! in the replicated log. Nothing here performs input or output.
+//! The planner decides whether a group of ranks should replace its expert map,
+//! and by which one. The switch moves all ranks from one map to the next such
+//! that each step runs under a single map. Decisions that must be durable are
+//! commands in the replicated log. This crate performs no input or output.
 
 mod budget;
 mod command;
@@ -27,14 +27,14 @@
 };
 pub use manager::{Manager, ManagerLimits};
 pub use map::{ExpertMap, Layout, MAX_MAP_SLOTS, MapError, MapId, RankShape, Slot};
-pub use order::{Change, Inventory, Order, OrderBook, OrderLog, Progress, Receipt, Role};
+pub use order::{AcceptedOrders, Change, Inventory, Order, OrderLog, Progress, Receipt, Role};
 pub use plan::{
     Bounds, Conditions, Declined, Demand, Forecast, Limits, Load, Plan, PlanPolicy, Planner,
     Popularity, Source, Speeds, StepSample, TokenCounts, Verdict, cold_loads, improve_map,
     pack_greedily, place, sources,
 };
 pub use rollout::{Member, RolloutStep, Wait, next_step};
-pub use status::{GroupNotes, GroupStatus, PlanNote, Straggler};
+pub use status::{GroupStatus, ManagerNotes, PlanNote, Straggler};
 pub use switch::{
     AbandonCause, Action, Coordinator, Ending, Epoch, Grant, LEADING_RANK, Leader, MapOrder,
     Message, Peer, Phase, RankAgent, RankStatus, SwitchPolicy,
--- a/decision/experts/src/manager.rs
+++ b/decision/experts/src/manager.rs
@@ -1,30 +1,30 @@
-//! Manager of one group: looks for better maps, pays for them and switches.
+//! Manager of one group: plans better maps, charges their cost and switches.
 //!
-//! The manager joins planner and coordinator for the instance that coordinates
-//! a group. A plan is paid for out of the group's bucket before it is proposed.
-//! While operators have paused the group nothing is planned, and a map that is
-//! not decided yet is given up.
+//! The manager combines planner and coordinator on the instance that coordinates
+//! a group. A plan is charged to the group's bucket before it is proposed. While
+//! operators have paused the group, no plan is made, and a staged map that is not
+//! decided yet is abandoned.
 
 use std::time::Duration;
 
 use pimentotide_model::{Declarations, GroupName, OrderId, Time};
 
 use crate::{
-    Action, Budget, Command, Conditions, Coordinator, GroupNotes, GroupStatus, Message, Phase,
+    Action, Budget, Command, Conditions, Coordinator, GroupStatus, ManagerNotes, Message, Phase,
     Plan, PlanCost, PlanNote, Planner, Refusal, Reply, StepSample, TokenCounts, Verdict,
 };
 
-/// Time between two looks for a better map.
-const LOOK_PERIOD: Duration = Duration::from_secs(10);
+/// Interval between two evaluations of the current map.
+const EVALUATION_INTERVAL: Duration = Duration::from_secs(10);
 
-/// What holds for a group at one tick.
+/// Limits that apply to a group at one tick.
 #[derive(Clone, Copy, Debug)]
 pub struct ManagerLimits<'a> {
-    /// Declarations in force.
+    /// Current declarations.
     pub declarations: &'a Declarations,
-    /// Budget as this replica knows it.
+    /// Budget as applied by this replica.
     pub budget: &'a Budget,
-    /// Bytes that rebalancing may move in an hour.
+    /// Bytes that rebalancing may move per hour.
     pub hourly: u64,
 }
 
@@ -37,14 +37,14 @@
     planner: Planner,
     pending: Option<(PlanCost, Plan)>,
     plans: u64,
-    notes: GroupNotes,
+    notes: ManagerNotes,
     hourly: u64,
 }
 
 impl Manager {
-    /// Joins a coordinator and a planner of the group `name`.
+    /// Combines a coordinator and a planner of the group `name`.
     ///
-    /// `nonce` differs at each start, as that of the coordinator does.
+    /// `nonce` differs at each start, like that of the coordinator.
     pub fn new(name: GroupName, nonce: u64, coordinator: Coordinator, planner: Planner) -> Self {
         Self {
             name,
@@ -53,32 +53,32 @@
             planner,
             pending: None,
             plans: 0,
-            notes: GroupNotes::default(),
+            notes: ManagerNotes::default(),
             hourly: 0,
         }
     }
 
-    /// Coordinator of the group.
+    /// Coordinator of the group's switches.
     pub fn coordinator(&self) -> &Coordinator {
         &self.coordinator
     }
 
-    /// Outcome of the last look, for the log line of the decision.
+    /// Outcome of the last evaluation, for the log line of the decision.
     pub fn plan(&self) -> Option<&PlanNote> {
         self.notes.plan.as_ref()
     }
 
-    /// Takes in token counts; false if they were not used.
+    /// Records token counts; false if they were not used.
     pub fn observe_tokens(&mut self, counts: &TokenCounts) -> bool {
         self.planner.observe_tokens(counts)
     }
 
-    /// Takes in a step time; false if it was not used.
+    /// Records a step time; false if it was not used.
     pub fn observe_step(&mut self, sample: &StepSample) -> bool {
         self.planner.observe_step(sample)
     }
 
-    /// Sends again what has not been answered, and looks for a better map when due.
+    /// Resends unanswered messages and commands, and evaluates the current map when due.
     pub fn tick(&mut self, now: Time, limits: &ManagerLimits<'_>) -> Vec<Action> {
         let paused = limits.declarations.frozen || limits.declarations.paused.contains(&self.name);
         self.hourly = limits.hourly;
@@ -91,28 +91,28 @@
         }
         if self
             .notes
-            .looked
-            .is_none_or(|at| now.since(at) >= LOOK_PERIOD)
+            .evaluated_at
+            .is_none_or(|at| now.since(at) >= EVALUATION_INTERVAL)
         {
-            self.look(now);
+            self.evaluate(now);
         }
-        actions.extend(self.pay());
+        actions.extend(self.submit_spend());
         actions
     }
 
-    /// Takes in a rank's status.
+    /// Receives a message; only a rank's status is used.
     pub fn receive(&mut self, message: Message, now: Time) -> Vec<Action> {
         if let Message::Status(status) = &message {
-            let known = self.coordinator.ranks().get(usize::from(status.rank));
-            let known = known.and_then(|s| s.as_ref()).map(|s| s.incarnation);
-            if known.is_some_and(|start| start < status.incarnation) {
+            let previous = self.coordinator.ranks().get(usize::from(status.rank));
+            let previous = previous.and_then(|s| s.as_ref()).map(|s| s.incarnation);
+            if previous.is_some_and(|p| p < status.incarnation) {
                 self.planner.reset_rank(status.rank);
             }
         }
         self.coordinator.receive(message, now)
     }
 
-    /// Takes in the reply of the log to a command of this manager.
+    /// Receives the reply of the log to a command of this manager.
     pub fn replied(&mut self, reply: Reply, now: Time) -> Vec<Action> {
         match reply {
             Reply::Paid(id) => self.propose(&id, now),
@@ -124,18 +124,18 @@
         }
     }
 
-    /// What operators see; none before the coordinator has read the group.
+    /// Status for operators; `None` until the coordinator has read the group.
     pub fn status(&mut self, budget: &Budget, now: Time) -> Option<GroupStatus> {
         let notes = self.notes.clone();
         let (name, coordinator) = (&self.name, &self.coordinator);
-        GroupStatus::gather(name, coordinator, &mut self.planner, budget, notes, now)
+        GroupStatus::collect(name, coordinator, &mut self.planner, budget, notes, now)
     }
 
-    fn look(&mut self, now: Time) {
+    fn evaluate(&mut self, now: Time) {
         let Some(group) = self.coordinator.group() else {
             return;
         };
-        // The note on the plan in flight stays until its switch has ended.
+        // The outcome of the plan in flight is kept until its switch has ended.
         if self.coordinator.phase() != Phase::Idle || self.pending.is_some() {
             return;
         }
@@ -146,7 +146,7 @@
         };
         let verdict = self.planner.evaluate(now, &group.decided.map, conditions);
         self.notes.plan = Some(PlanNote::of(&verdict));
-        self.notes.looked = Some(now);
+        self.notes.evaluated_at = Some(now);
         if let Verdict::Propose(plan) = verdict {
             self.plans += 1;
             let cost = PlanCost {
@@ -157,7 +157,7 @@
         }
     }
 
-    fn pay(&self) -> Option<Action> {
+    fn submit_spend(&self) -> Option<Action> {
         let (cost, _) = self.pending.as_ref()?;
         Some(Action::Submit(Command::Spend {
             group: self.name.clone(),
@@ -166,8 +166,8 @@
         }))
     }
 
-    fn propose(&mut self, paid: &OrderId, now: Time) -> Vec<Action> {
-        let Some((_, plan)) = self.pending.take_if(|(cost, _)| cost.id == *paid) else {
+    fn propose(&mut self, id: &OrderId, now: Time) -> Vec<Action> {
+        let Some((_, plan)) = self.pending.take_if(|(cost, _)| cost.id == *id) else {
             return Vec::new();
         };
         self.coordinator.propose(plan.map, now).1
--- a/decision/experts/src/map.rs
+++ b/decision/experts/src/map.rs
@@ -1,16 +1,16 @@
-//! Expert maps and the shape of the group that they are made for.
+//! Expert maps and the layout of the group that they belong to.
 //!
-//! A map says for each layer which expert sits in each slot of each rank, and
-//! which part of the expert's tokens goes to that replica. A map never changes
-//! once it has an identity.
+//! A map assigns, for each layer, an expert to each slot of each rank, and a
+//! weight that sets the share of the expert's tokens for that replica. A map is
+//! immutable once it has an identity.
 
 use derive_more::{Display, From, Into};
 use serde::{Deserialize, Serialize};
 
-/// Most slots of a map, over all layers and ranks.
+/// Maximum number of slots of a map, over all layers and ranks.
 pub const MAX_MAP_SLOTS: usize = 1 << 17;
 
-/// Identity of a map in its group; rises with each map that is staged.
+/// Identity of a map in its group; increases with each staged map.
 #[derive(
     Clone,
     Copy,
@@ -30,23 +30,23 @@
 #[serde(transparent)]
 pub struct MapId(pub u64);
 
-/// Place of one rank in its group.
+/// Node and capacity of one rank.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RankShape {
     /// Node that hosts the rank.
     pub node: u16,
-    /// Experts that the rank can hold in each layer.
+    /// Number of experts that the rank can hold in each layer.
     pub slots: u16,
 }
 
-/// Sizes of a group of ranks and of its model.
+/// Dimensions of a group of ranks and of its model.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Layout {
-    /// Layers with experts.
+    /// Number of layers with experts.
     pub layers: u16,
-    /// Experts in each layer.
+    /// Number of experts in each layer.
     pub experts: u16,
-    /// Ranks in order of their numbers.
+    /// Ranks by number.
     pub ranks: Vec<RankShape>,
 }
 
@@ -55,47 +55,48 @@
 pub struct Slot {
     /// Expert that the slot holds.
     pub expert: u16,
-    /// Part of the expert's tokens, relative to its other replicas.
+    /// Share of the expert's tokens, relative to its other replicas.
     pub weight: u8,
 }
 
 /// Placement of all experts of a model on the ranks of a group.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ExpertMap {
-    /// Layers with experts.
+    /// Number of layers with experts.
     pub layers: u16,
-    /// Slots of all ranks in order, layer after layer.
+    /// Slots of all ranks by rank, layer after layer.
     pub slots: Vec<Slot>,
 }
 
-/// What is wrong with a layout or a map.
+/// Error in a layout or a map.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum MapError {
     /// The layout has no ranks, layers or experts.
     #[display("the layout is empty")]
     Empty,
-    /// The slots cannot hold every expert, or exceed the limit.
-    #[display("the slots do not fit the experts")]
+    /// Too few slots for the experts, a rank with more slots than experts, or more
+    /// than `MAX_MAP_SLOTS` slots.
+    #[display("the number of slots does not fit the experts")]
     Capacity,
-    /// The map has another number of slots than the layout.
-    #[display("the map does not fit the layout")]
+    /// The number of layers or slots differs from the layout.
+    #[display("the size of the map differs from the layout")]
     Size,
-    /// An expert number lies outside the layout.
+    /// An expert number is outside the layout.
     #[display("a slot names an expert that does not exist")]
     UnknownExpert,
     /// A rank holds an expert twice in one layer.
     #[display("a rank holds an expert twice")]
     Duplicate,
-    /// An expert is placed nowhere, or only with weight zero.
-    #[display("an expert has no replica that takes tokens")]
+    /// An expert has no replica, or only replicas of weight zero.
+    #[display("an expert has no replica with a positive weight")]
     Unplaced,
 }
 
 impl std::error::Error for MapError {}
 
 impl Layout {
-    /// Builds a layout of equal ranks.
+    /// Builds a layout of equal ranks, `node_ranks` of them per node.
     pub fn uniform(layers: u16, experts: u16, ranks: u16, slots: u16, node_ranks: u16) -> Self {
         let ranks = (0..ranks)
             .map(|r| RankShape {
@@ -110,27 +111,27 @@
         }
     }
 
-    /// Slots of all ranks in one layer.
+    /// Number of slots of all ranks in one layer.
     pub fn width(&self) -> usize {
         self.ranks.iter().map(|r| usize::from(r.slots)).sum()
     }
 
-    /// Checks that the experts fit into the slots.
+    /// Checks that the slots can hold the experts within the limits.
     pub fn check(&self) -> Result<(), MapError> {
         if self.layers == 0 || self.experts == 0 || self.ranks.is_empty() {
             return Err(MapError::Empty);
         }
         let fits = self.width() >= usize::from(self.experts);
-        let narrow = self.ranks.iter().all(|r| r.slots <= self.experts);
+        let distinct = self.ranks.iter().all(|r| r.slots <= self.experts);
         let bounded = self.width() * usize::from(self.layers) <= MAX_MAP_SLOTS;
-        if fits && narrow && bounded {
+        if fits && distinct && bounded {
             Ok(())
         } else {
             Err(MapError::Capacity)
         }
     }
 
-    /// First slot of each rank within a layer.
+    /// Index of the first slot of each rank within a layer.
     pub fn offsets(&self) -> Vec<usize> {
         self.ranks
             .iter()
@@ -159,12 +160,12 @@
         &self.slots[layer * width..(layer + 1) * width]
     }
 
-    /// Slots in one layer.
+    /// Number of slots in one layer.
     pub fn width(&self) -> usize {
         self.slots.len() / usize::from(self.layers).max(1)
     }
 
-    /// Checks that every expert is placed and no rank holds more than it can.
+    /// Checks that the map fits `layout` and every expert has a replica that gets tokens.
     pub fn check(&self, layout: &Layout) -> Result<(), MapError> {
         layout.check()?;
         let expected = layout.width() * usize::from(layout.layers);
@@ -175,7 +176,7 @@
         (0..usize::from(self.layers)).try_for_each(|l| check_layer(self.layer(l), layout, &owners))
     }
 
-    /// Experts that ranks hold under this map and do not hold under `old`.
+    /// Number of expert replicas that ranks hold under this map but not under `old`.
     pub fn moved(&self, old: &Self, layout: &Layout) -> usize {
         let owners = layout.owners();
         let width = layout.width();
@@ -200,11 +201,11 @@
 }
 
 fn check_layer(slots: &[Slot], layout: &Layout, owners: &[usize]) -> Result<(), MapError> {
-    let mut holder = vec![usize::MAX; usize::from(layout.experts)];
+    let mut last_owner = vec![usize::MAX; usize::from(layout.experts)];
     let mut weights = vec![0_u32; usize::from(layout.experts)];
     for (slot, &owner) in slots.iter().zip(owners) {
         let expert = usize::from(slot.expert);
-        let last = holder.get_mut(expert).ok_or(MapError::UnknownExpert)?;
+        let last = last_owner.get_mut(expert).ok_or(MapError::UnknownExpert)?;
         if *last == owner {
             return Err(MapError::Duplicate);
         }
--- a/decision/experts/src/order.rs
+++ b/decision/experts/src/order.rs
@@ -1,9 +1,9 @@
-//! Orders to load, unload or change role, and the book that makes each act once.
+//! Orders to load, unload or change role, each carried out once.
 //!
 //! An order is committed in the log under its identifier before it is sent, so
-//! a resent order finds the first one. The agent keeps a book of what it has
-//! carried out. Orders name the state to reach, so an agent that has lost its
-//! book compares the order with what its engine reports.
+//! a resent order resolves to the first one. The agent records the orders that it
+//! has accepted. An order names a target state, so an agent that lost its records
+//! in a restart compares the order with the state that its engine reports.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -13,96 +13,96 @@
 };
 use serde::{Deserialize, Serialize};
 
-/// Orders that are remembered for each upstream.
+/// Maximum number of orders kept for each upstream.
 const MAX_ORDERS: usize = 32;
 
-/// Upstreams that orders are kept for.
+/// Maximum number of upstreams with orders.
 const MAX_UPSTREAMS: usize = 4096;
 
-/// What an upstream does for the requests it takes.
+/// Phases of a request that an upstream runs.
 #[derive(Clone, Copy, Debug, Default, Display, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Role {
-    /// Prompts and answers.
+    /// Prefill and decode.
     #[default]
     #[display("mixed")]
     Mixed,
-    /// Prompts only.
+    /// Prefill of prompts only.
     #[display("prefill")]
     Prefill,
-    /// Answers only.
+    /// Decode of answers only.
     #[display("decode")]
     Decode,
 }
 
-/// State that an order asks for.
+/// Target state of an order.
 #[derive(Clone, Debug, Display, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Change {
-    /// Have this version of a model loaded, and no other version of it.
+    /// This version of a model is loaded, and no other version of it.
     #[display("load {_0} {_1}")]
     Load(ModelName, VersionName),
-    /// Have no version of a model loaded.
+    /// No version of the model is loaded.
     #[display("unload {_0}")]
     Unload(ModelName),
-    /// Have an adapter loaded.
+    /// The adapter is loaded.
     #[display("load adapter {_0}")]
     LoadAdapter(AdapterName),
-    /// Have an adapter unloaded.
+    /// The adapter is not loaded.
     #[display("unload adapter {_0}")]
     UnloadAdapter(AdapterName),
-    /// Have this role.
+    /// The upstream has this role.
     #[display("become {_0}")]
     Become(Role),
 }
 
-/// One order to one upstream.
+/// Order to one upstream.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Order {
-    /// Identifier, the same when the order is resent.
+    /// Identifier; the same when the order is resent.
     pub id: OrderId,
-    /// Fencing number that the log gave it.
+    /// Fencing token that the log assigned.
     pub fence: Fence,
-    /// State to reach.
+    /// Target state.
     pub change: Change,
 }
 
-/// What an engine reports of itself.
+/// State reported by an engine.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Inventory {
     /// Versions loaded, by model.
     pub models: BTreeMap<ModelName, VersionName>,
     /// Adapters loaded.
     pub adapters: BTreeSet<AdapterName>,
-    /// Role.
+    /// Current role.
     pub role: Role,
 }
 
-/// How far an order has come.
+/// Progress of an order.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Progress {
     /// The engine has not finished it.
     #[display("running")]
     Running,
-    /// The engine is in the state asked for.
+    /// The engine is in the target state.
     #[display("done")]
     Done,
-    /// The engine could not reach the state.
+    /// The engine failed to reach the target state.
     #[display("failed")]
     Failed,
-    /// A newer order asks for another state.
+    /// A newer order on the same subject replaced it.
     #[display("superseded")]
     Superseded,
 }
 
-/// What an agent has to do with an order that it received.
+/// Outcome of receiving an order at an agent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Receipt {
-    /// Pass it to the engine.
-    Act,
-    /// Nothing: this is how far it has come.
-    Known(Progress),
+    /// The order has to be passed to the engine.
+    Execute,
+    /// The order needs no action and has this progress.
+    Recorded(Progress),
 }
 
 /// Orders of all upstreams, equal on every replica.
@@ -111,16 +111,16 @@
     upstreams: BTreeMap<UpstreamName, VecDeque<(Order, Progress)>>,
 }
 
-/// Orders that one agent has carried out.
+/// Orders that one agent has accepted since its start.
 #[derive(Clone, Debug, Default)]
-pub struct OrderBook {
+pub struct AcceptedOrders {
     floor: Option<Fence>,
     entries: VecDeque<(OrderId, Progress)>,
 }
 
 impl Change {
-    /// Whether both orders are about the same thing.
-    fn concerns(&self, other: &Self) -> bool {
+    /// Whether both changes affect the same model, the same adapter or the role.
+    fn conflicts_with(&self, other: &Self) -> bool {
         match (self, other) {
             (Self::Load(a, _) | Self::Unload(a), Self::Load(b, _) | Self::Unload(b)) => a == b,
             (
@@ -134,7 +134,7 @@
 }
 
 impl Inventory {
-    /// Whether the engine is in the state that `change` asks for.
+    /// Whether the engine is in the target state of `change`.
     pub fn meets(&self, change: &Change) -> bool {
         match change {
             Change::Load(model, version) => self.models.get(model) == Some(version),
@@ -147,9 +147,10 @@
 }
 
 impl OrderLog {
-    /// Takes in an order under the next fencing number, or finds the one with its identifier.
+    /// Adds an order under the fencing token `next`, or finds the one with its identifier.
     ///
-    /// None if the identifier belongs to another change, or no further upstream fits.
+    /// Supersedes running orders on the same subject. `None` if the identifier belongs
+    /// to another change, or the maximum number of upstreams is reached.
     pub fn place(
         &mut self,
         upstream: &UpstreamName,
@@ -161,11 +162,11 @@
             return None;
         }
         let orders = self.upstreams.entry(upstream.clone()).or_default();
-        if let Some((known, _)) = orders.iter().find(|(o, _)| o.id == *id) {
-            return (known.change == *change).then(|| known.clone());
+        if let Some((first, _)) = orders.iter().find(|(o, _)| o.id == *id) {
+            return (first.change == *change).then(|| first.clone());
         }
         for (order, progress) in orders.iter_mut() {
-            if *progress == Progress::Running && order.change.concerns(change) {
+            if *progress == Progress::Running && order.change.conflicts_with(change) {
                 *progress = Progress::Superseded;
             }
         }
@@ -181,7 +182,7 @@
         Some(order)
     }
 
-    /// Records how an order has ended; the first ending stands.
+    /// Records the final progress of an order; only the first one counts.
     pub fn finish(&mut self, upstream: &UpstreamName, id: &OrderId, end: Progress) {
         let orders = self.upstreams.get_mut(upstream).into_iter().flatten();
         for (order, progress) in orders {
@@ -191,29 +192,29 @@
         }
     }
 
-    /// Order that is to be sent to `upstream`: the oldest that has not ended.
+    /// Order to send to `upstream`: the oldest running one.
     ///
-    /// Orders go one after another, so that fencing numbers reach an agent in order.
+    /// Orders are sent one at a time, so that fencing tokens reach an agent in order.
     pub fn next_order(&self, upstream: &UpstreamName) -> Option<Order> {
         self.running(upstream).into_iter().next()
     }
 
-    /// Orders to `upstream` that have not ended, oldest first.
+    /// Running orders to `upstream`, oldest first.
     pub fn running(&self, upstream: &UpstreamName) -> Vec<Order> {
         let orders = self.upstreams.get(upstream).into_iter().flatten();
         let running = orders.filter(|(_, p)| *p == Progress::Running);
         running.map(|(order, _)| order.clone()).collect()
     }
 
-    /// How far an order has come.
+    /// Progress of an order; `None` if it is not kept.
     pub fn progress(&self, upstream: &UpstreamName, id: &OrderId) -> Option<Progress> {
         let orders = self.upstreams.get(upstream)?;
         orders.iter().find(|(o, _)| o.id == *id).map(|(_, p)| *p)
     }
 
-    /// Lowest fencing number that the agent of `upstream` accepts after a start.
+    /// Lowest fencing token that the agent of `upstream` accepts after a start.
     ///
-    /// An order that still runs was sent last, as orders go one after another.
+    /// Orders are sent one at a time, so the oldest running order was sent last.
     pub fn floor(&self, upstream: &UpstreamName) -> Fence {
         let orders = self.upstreams.get(upstream);
         let running = self.next_order(upstream).map(|o| o.fence);
@@ -222,28 +223,33 @@
     }
 }
 
-impl OrderBook {
-    /// Learns the floor of fencing numbers; it only rises.
-    pub fn learn_floor(&mut self, floor: Fence) {
+impl AcceptedOrders {
+    /// Raises the floor of fencing tokens; a lower value has no effect.
+    pub fn raise_floor(&mut self, floor: Fence) {
         self.floor = self.floor.max(Some(floor));
     }
 
-    /// Lowest fencing number that is accepted, once it has been learnt.
+    /// Lowest fencing token that is accepted; `None` until received after a start.
     pub fn floor(&self) -> Option<Fence> {
         self.floor
     }
 
-    /// Takes in an order; an engine in the state asked for need not act.
+    /// Accepts an order; it is done at once if the engine is in the target state.
+    ///
+    /// # Errors
+    ///
+    /// Fails with `NotCurrent` until the floor of fencing tokens is received, and with
+    /// `Fenced` if the order's token is below it.
     pub fn receive(&mut self, order: &Order, engine: &Inventory) -> Result<Receipt, Failure> {
         let Some(floor) = self.floor else {
-            let detail = "the agent has not learnt the floor of fencing numbers";
+            let detail = "the agent has not received its floor of fencing tokens";
             return Err(Failure::new(ErrorKind::NotCurrent, detail));
         };
         if let Some((_, progress)) = self.entries.iter().find(|(id, _)| *id == order.id) {
-            return Ok(Receipt::Known(*progress));
+            return Ok(Receipt::Recorded(*progress));
         }
         if order.fence < floor {
-            let detail = format!("fencing number {} is below {floor}", order.fence);
+            let detail = format!("fencing token {} is below the floor {floor}", order.fence);
             return Err(Failure::new(ErrorKind::Fenced, detail));
         }
         self.floor = Some(order.fence);
@@ -258,15 +264,15 @@
             self.entries.pop_front();
         }
         Ok(if met {
-            Receipt::Known(progress)
+            Receipt::Recorded(progress)
         } else {
-            Receipt::Act
+            Receipt::Execute
         })
     }
 
-    /// Records how the engine has carried out an order.
+    /// Records the final progress of an order.
     pub fn finish(&mut self, id: &OrderId, end: Progress) {
-        let entry = self.entries.iter_mut().find(|(known, _)| known == id);
+        let entry = self.entries.iter_mut().find(|(entry, _)| entry == id);
         if let Some((_, progress)) = entry {
             *progress = end;
         }
--- a/decision/experts/src/rollout.rs
+++ b/decision/experts/src/rollout.rs
@@ -1,4 +1,7 @@
-//! Next step of a version change that keeps enough warm capacity in service.
+//! Rolling version change of a service.
+//!
+//! Upstreams change one at a time, and only while the remaining warm capacity
+//! covers the demand with some headroom.
 
 use std::collections::BTreeMap;
 
@@ -8,36 +11,36 @@
 
 use crate::Change;
 
-/// Capacity kept above demand, as a factor.
-const HEADROOM: f64 = 1.2;
+/// Minimum ratio of the remaining warm capacity to demand.
+const HEADROOM_RATIO: f64 = 1.2;
 
 /// One upstream of the service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
-    /// Version that it serves, once one is loaded.
+    /// Loaded version; `None` while nothing is loaded.
     pub version: Option<VersionName>,
-    /// How far it has warmed up.
+    /// Warm-up state.
     pub warmth: Warmth,
-    /// Requests at once when warm.
+    /// Concurrent requests when warm.
     pub capacity: u32,
-    /// Whether it takes new work: in service, announced, not leaving.
+    /// Whether it accepts new requests: in service, announced and not draining.
     pub serving: bool,
-    /// Whether an order to it still runs.
+    /// Whether an order to it is still running.
     pub changing: bool,
 }
 
-/// Why a version change waits.
+/// Reason why a version change waits.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Wait {
-    /// An upstream is still loading.
+    /// An order to an upstream is still running.
     #[display("an upstream is changing")]
     Changing,
-    /// A changed upstream has not warmed up.
+    /// An upstream with the new version has not warmed up.
     #[display("a changed upstream is not warm")]
     Warming,
-    /// The others could not bear the load.
-    #[display("the other warm upstreams could not bear the load")]
+    /// The remaining warm capacity would not cover the demand.
+    #[display("the other warm upstreams lack the capacity for the load")]
     Capacity,
 }
 
@@ -45,18 +48,18 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RolloutStep {
-    /// Order one upstream.
+    /// Send this order to the upstream.
     Order(UpstreamName, Change),
-    /// Look again later.
+    /// Retry later.
     Wait(Wait),
-    /// All upstreams serve the version.
+    /// All upstreams have the version loaded.
     Done,
 }
 
-/// Decides the next step that brings all of `members` to `version`.
+/// Returns the next step that brings all of `members` to `version`.
 ///
-/// `demand` is the number of requests that the service runs at once. One
-/// upstream changes at a time; those that bear nothing go first.
+/// `demand` is the number of concurrent requests of the service. One upstream
+/// changes at a time; those without usable capacity go first.
 pub fn next_step(
     members: &BTreeMap<UpstreamName, Member>,
     model: &ModelName,
@@ -67,31 +70,31 @@
     if members.values().any(|m| m.changing) {
         return RolloutStep::Wait(Wait::Changing);
     }
-    let mut waiting: Vec<(&UpstreamName, &Member)> =
+    let mut pending: Vec<(&UpstreamName, &Member)> =
         members.iter().filter(|(_, m)| stale(m)).collect();
-    if waiting.is_empty() {
+    if pending.is_empty() {
         return RolloutStep::Done;
     }
-    waiting.sort_by_key(|(name, m)| (bears(m), *name));
-    let (name, member) = waiting[0];
+    pending.sort_by_key(|(name, m)| (usable_capacity(m), *name));
+    let (name, member) = pending[0];
     let order = || RolloutStep::Order(name.clone(), Change::Load(model.clone(), version.clone()));
-    if bears(member) == 0 {
+    if usable_capacity(member) == 0 {
         return order();
     }
     let unwarmed = |m: &Member| !stale(m) && m.serving && m.warmth != Warmth::Warm;
     if members.values().any(unwarmed) {
         return RolloutStep::Wait(Wait::Warming);
     }
-    let all: u32 = members.values().map(bears).sum();
-    let rest = all - bears(member);
-    if rest == 0 || f64::from(rest) < f64::from(demand) * HEADROOM {
+    let all: u32 = members.values().map(usable_capacity).sum();
+    let remaining = all - usable_capacity(member);
+    if remaining == 0 || f64::from(remaining) < f64::from(demand) * HEADROOM_RATIO {
         return RolloutStep::Wait(Wait::Capacity);
     }
     order()
 }
 
-/// Requests that an upstream bears at once now.
-fn bears(member: &Member) -> u32 {
+/// Concurrent requests that an upstream can serve now.
+fn usable_capacity(member: &Member) -> u32 {
     if member.serving && member.version.is_some() && member.warmth == Warmth::Warm {
         member.capacity
     } else {
--- a/decision/experts/src/status.rs
+++ b/decision/experts/src/status.rs
@@ -1,4 +1,4 @@
-//! What operators see of one group.
+//! Status of one group as reported to operators.
 
 use derive_more::Display;
 use pimentotide_model::{GroupName, Time};
@@ -8,7 +8,7 @@
     Budget, Coordinator, Declined, Ending, Forecast, MapId, Phase, Plan, Planner, Verdict,
 };
 
-/// Outcome of the last look of the planner.
+/// Outcome of an evaluation by the planner.
 #[derive(Clone, Debug, Display, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum PlanNote {
@@ -19,7 +19,7 @@
         after.skew()
     )]
     Proposed {
-        /// Forecast for the map in force.
+        /// Forecast for the current map.
         before: Forecast,
         /// Forecast for the proposed map.
         after: Forecast,
@@ -28,34 +28,34 @@
         /// Bytes moved.
         bytes: u64,
     },
-    /// The group stays on its map.
+    /// The group keeps its map.
     #[display("declined: {_0}")]
     Declined(Declined),
 }
 
-/// Rank that is slower than ordinary.
+/// Rank that is slower than an ordinary one.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Straggler {
     /// Rank.
     pub rank: u16,
-    /// Speed, 1.0 for an ordinary rank.
+    /// Relative speed, 1.0 for an ordinary rank.
     pub speed: f64,
 }
 
-/// What the shell of a coordinator adds to the status of a group.
+/// Part of a group's status that comes from its manager.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct GroupNotes {
+pub struct ManagerNotes {
     /// Whether operators have paused rebalancing.
     pub paused: bool,
-    /// Bytes that rebalancing may still move.
+    /// Bytes that rebalancing may move now.
     pub allowance: u64,
-    /// Outcome of the last look.
+    /// Outcome of the last evaluation.
     pub plan: Option<PlanNote>,
-    /// When the last look was.
-    pub looked: Option<Time>,
+    /// Time of the last evaluation.
+    pub evaluated_at: Option<Time>,
 }
 
-/// One group as operators see it.
+/// Status of one group.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct GroupStatus {
     /// Name of the group.
@@ -64,34 +64,35 @@
     pub ranks: usize,
     /// Ranks that have reported.
     pub reporting: usize,
-    /// Map decided last.
+    /// Latest decided map.
     pub map: MapId,
-    /// Whether all ranks run under it.
+    /// Whether every rank has run a step under the map.
     pub settled: bool,
     /// Step that the slowest rank has reached.
     pub step: u64,
-    /// Where a switch stands.
+    /// Phase of the switch.
     pub phase: Phase,
-    /// How the last switch ended.
+    /// Outcome of the last switch.
     pub ending: Option<Ending>,
-    /// Time over the lower bound, forecast for the map in force.
+    /// Forecast step time over its lower bound, for the current map.
     pub skew: f64,
-    /// Slowest rank, if it is slower than ordinary.
+    /// Slowest rank, if it is slower than an ordinary one.
     pub straggler: Option<Straggler>,
     /// Whether operators have paused rebalancing.
     pub paused: bool,
-    /// Bytes that rebalancing may still move.
+    /// Bytes that rebalancing may move now.
     pub allowance: u64,
-    /// Part of the weights store's rate in use, 0.0 to 1.0.
+    /// Ratio of the weights store's rate in use, 0.0 to 1.0.
     pub store: f64,
-    /// Outcome of the last look.
+    /// Outcome of the last evaluation.
     pub plan: Option<PlanNote>,
-    /// When the last look was.
-    pub looked: Option<Time>,
+    /// Time of the last evaluation.
+    #[serde(rename = "looked")]
+    pub evaluated_at: Option<Time>,
 }
 
 impl PlanNote {
-    /// Notes the outcome of a look.
+    /// Summarises the outcome of an evaluation.
     pub fn of(verdict: &Verdict) -> Self {
         match verdict {
             Verdict::Propose(plan) => Self::proposed(plan),
@@ -110,13 +111,13 @@
 }
 
 impl GroupStatus {
-    /// Gathers the state of a group; none before the coordinator has read it.
-    pub fn gather(
+    /// Collects the status of a group; `None` until the coordinator has read it.
+    pub fn collect(
         name: &GroupName,
         coordinator: &Coordinator,
         planner: &mut Planner,
         budget: &Budget,
-        notes: GroupNotes,
+        notes: ManagerNotes,
         now: Time,
     ) -> Option<Self> {
         let group = coordinator.group()?;
@@ -139,7 +140,7 @@
             allowance: notes.allowance,
             store: budget.used(now) as f64 / budget.rate().max(1) as f64,
             plan: notes.plan,
-            looked: notes.looked,
+            evaluated_at: notes.evaluated_at,
         })
     }
 }
--- a/decision/experts/src/switch/agent.rs
+++ b/decision/experts/src/switch/agent.rs
@@ -1,9 +1,9 @@
 //! Agent of one rank: runs only steps that the leader has granted.
 //!
-//! An agent never picks a map. It holds the step until a grant of the newest
-//! epoch covers it and the weights of the granted map are in place. After a
-//! restart it knows no grants and no floor, so it holds steps and refuses
-//! orders until it has been told both.
+//! An agent never chooses a map. It holds the next step until a grant of the
+//! newest epoch covers it and the weights of the granted map are loaded. A
+//! restarted agent has no grants and no floor of fencing tokens, so it holds
+//! steps and rejects orders until it receives them.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -13,11 +13,11 @@
 use super::message::{Action, Epoch, Grant, MapOrder, Message, Peer, RankStatus};
 use crate::{DecidedMap, ExpertMap, Load, MapId};
 
-/// Freed maps that late orders are recognised for.
+/// Maximum number of freed maps kept to recognise late orders.
 const MAX_FREED: usize = 16;
 
-/// Steps between two reports to the leader while enough steps are granted.
-const REPORT_STEPS: u64 = 4;
+/// Steps between two reports to the leader; below this many granted steps each step is reported.
+const REPORT_INTERVAL_STEPS: u64 = 4;
 
 /// State of the weights of one map.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -40,12 +40,12 @@
     running: bool,
     maps: BTreeMap<MapId, Weights>,
     freed: Vec<MapId>,
-    doomed: Vec<MapId>,
+    discarded: Vec<MapId>,
     failed: Option<MapId>,
 }
 
 impl RankAgent {
-    /// Starts an agent that has been told nothing yet.
+    /// Creates an agent that has no floor, epoch or grants yet.
     pub fn new(rank: u16, incarnation: Incarnation) -> Self {
         Self {
             rank,
@@ -59,12 +59,12 @@
             running: false,
             maps: BTreeMap::new(),
             freed: Vec::new(),
-            doomed: Vec::new(),
+            discarded: Vec::new(),
             failed: None,
         }
     }
 
-    /// What the agent knows of itself.
+    /// Current status.
     pub fn status(&self) -> RankStatus {
         let of = |state| {
             let maps = self.maps.iter().filter(move |(_, w)| **w == state);
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Reports to coordinator and leader; called on a period.
+    /// Reports to coordinator and leader; called periodically.
     pub fn tick(&self) -> Vec<Action> {
         let status = Message::Status(self.status());
         vec![
@@ -92,7 +92,12 @@
         ]
     }
 
-    /// Takes in a message; an order that is refused changes nothing.
+    /// Receives a message; a rejected order changes no state.
+    ///
+    /// # Errors
+    ///
+    /// Fails for an order with `NotCurrent` until the floor of fencing tokens is
+    /// received, and with `Fenced` if the order's token is below it.
     pub fn receive(&mut self, message: Message) -> Result<Vec<Action>, Failure> {
         match message {
             Message::Order { fence, order } => self.order(fence, order),
@@ -101,12 +106,12 @@
                 Ok(Vec::new())
             }
             Message::Open { epoch, decided } => Ok(self.open(epoch, decided)),
-            Message::Grants { epoch, grants } => Ok(self.take_grants(epoch, &grants)),
+            Message::Grants { epoch, grants } => Ok(self.add_grants(epoch, &grants)),
             Message::Status(_) => Ok(Vec::new()),
         }
     }
 
-    /// Weights of a map are in place.
+    /// Records that the weights of a map are loaded.
     pub fn loaded(&mut self, id: MapId) -> Vec<Action> {
         let Some(weights) = self.maps.get_mut(&id) else {
             return vec![Action::Free(id)];
@@ -117,34 +122,36 @@
         actions
     }
 
-    /// Weights of a map could not be loaded.
+    /// Records that the weights of a map failed to load.
     pub fn load_failed(&mut self, id: MapId) -> Vec<Action> {
         self.maps.remove(&id);
         self.failed = Some(id);
         self.tick()
     }
 
-    /// The engine has finished a step of `epoch`.
+    /// Records that the engine has finished a step of `epoch`.
     pub fn finished(&mut self, epoch: Epoch, step: u64) -> Vec<Action> {
         if epoch != self.epoch || !self.running || step != self.step {
             return Vec::new();
         }
         self.running = false;
         let mut actions = self.run_next();
-        if step.is_multiple_of(REPORT_STEPS) || self.granted_ahead() < REPORT_STEPS {
+        if step.is_multiple_of(REPORT_INTERVAL_STEPS)
+            || self.granted_ahead() < REPORT_INTERVAL_STEPS
+        {
             let status = Message::Status(self.status());
             actions.push(Action::Send(Peer::Leader, status));
         }
-        actions.extend(self.free_doomed());
+        actions.extend(self.free_discarded());
         actions
     }
 
-    /// Whether the agent holds the next step because it has not been told its map.
+    /// Whether no step is running, for lack of a grant or of loaded weights.
     pub fn is_holding(&self) -> bool {
         !self.running
     }
 
-    /// Lowest fencing number that the agent accepts, once it has learnt it.
+    /// Lowest fencing token that the agent accepts; `None` until received after a start.
     pub fn floor(&self) -> Option<Fence> {
         self.floor
     }
@@ -164,11 +171,11 @@
         let Some(floor) = self.floor else {
             return Err(Failure::new(
                 ErrorKind::NotCurrent,
-                "the agent has not learnt the floor of fencing numbers",
+                "the agent has not received its floor of fencing tokens",
             ));
         };
         if fence < floor {
-            let detail = format!("fencing number {fence} is below {floor}");
+            let detail = format!("fencing token {fence} is below the floor {floor}");
             return Err(Failure::new(ErrorKind::Fenced, detail));
         }
         self.floor = Some(fence);
@@ -187,20 +194,20 @@
         vec![Action::Load { id, map, loads }]
     }
 
-    /// Frees a map once no grant names it any more.
+    /// Frees a map once no grant refers to it.
     fn discard(&mut self, id: MapId) -> Vec<Action> {
         if !self.maps.contains_key(&id) {
-            self.note_freed(id);
+            self.record_freed(id);
             return self.tick();
         }
-        if !self.doomed.contains(&id) {
-            self.doomed.push(id);
+        if !self.discarded.contains(&id) {
+            self.discarded.push(id);
         }
-        self.free_doomed()
+        self.free_discarded()
     }
 
-    /// Identities are never used again, so a late order to stage one is refused.
-    fn note_freed(&mut self, id: MapId) {
+    /// Records a freed map so that a late order to stage it is ignored; identities are not reused.
+    fn record_freed(&mut self, id: MapId) {
         if !self.freed.contains(&id) {
             self.freed.push(id);
         }
@@ -209,17 +216,17 @@
         }
     }
 
-    fn free_doomed(&mut self) -> Vec<Action> {
+    fn free_discarded(&mut self) -> Vec<Action> {
         let running = self.running.then_some(self.active).flatten();
         let used = |id: &MapId| running == Some(*id) || self.grants.iter().any(|g| g.map == *id);
-        let (keep, free): (Vec<MapId>, Vec<MapId>) = self.doomed.drain(..).partition(used);
-        self.doomed = keep;
+        let (keep, free): (Vec<MapId>, Vec<MapId>) = self.discarded.drain(..).partition(used);
+        self.discarded = keep;
         if free.is_empty() {
             return Vec::new();
         }
         for id in &free {
             self.maps.remove(id);
-            self.note_freed(*id);
+            self.record_freed(*id);
         }
         let mut actions: Vec<Action> = free.into_iter().map(Action::Free).collect();
         actions.extend(self.tick());
@@ -235,9 +242,9 @@
             self.epoch = epoch;
             self.grants.clear();
             self.next = None;
-            // A new epoch names the decided map whatever was freed before.
+            // The map of a new epoch is needed even if it was freed or discarded before.
             self.freed.retain(|id| *id != decided.id);
-            self.doomed.retain(|id| *id != decided.id);
+            self.discarded.retain(|id| *id != decided.id);
             if std::mem::take(&mut self.running) {
                 actions.push(Action::Abort(self.step));
             }
@@ -254,18 +261,18 @@
         actions
     }
 
-    fn take_grants(&mut self, epoch: Epoch, grants: &[Grant]) -> Vec<Action> {
+    fn add_grants(&mut self, epoch: Epoch, grants: &[Grant]) -> Vec<Action> {
         if epoch != self.epoch {
             return Vec::new();
         }
         for grant in grants {
-            self.take_grant(grant);
+            self.add_grant(grant);
         }
         self.run_next()
     }
 
-    /// Appends what a grant adds to those known; never changes a granted step.
-    fn take_grant(&mut self, grant: &Grant) {
+    /// Appends the steps that a grant adds; never changes the map of a granted step.
+    fn add_grant(&mut self, grant: &Grant) {
         let end = match self.grants.last() {
             Some(last) => last.end,
             None => self.next.unwrap_or(grant.first),
--- a/decision/experts/src/switch/coordinator.rs
+++ b/decision/experts/src/switch/coordinator.rs
@@ -1,9 +1,9 @@
 //! Coordinator of the switches of one group.
 //!
-//! The coordinator has a map staged on every rank, has it decided in the log,
-//! tells the leader of the steps and waits until every rank runs under it. It
-//! keeps nothing that the log does not hold: whoever takes over reads the group
-//! and goes on with what is staged or decided there.
+//! The coordinator stages a map on every rank, commits the decision in the log,
+//! reports it to the leader and waits until every rank runs under the map. The
+//! log holds all state that matters: a new coordinator reads the group from it
+//! and resumes with the staged or decided map.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,58 +17,58 @@
     sources,
 };
 
-/// Times and distances of a switch.
+/// Parameters of a switch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SwitchPolicy {
-    /// Time that ranks have to load a map before it is abandoned.
+    /// Time in which ranks have to load a map before it is abandoned.
     pub staging: Duration,
-    /// Steps between the newest known step and the one that a decision names.
+    /// Steps between the newest reported step and the first step of a decided map.
     pub lead: u64,
 }
 
-/// Where a switch stands.
+/// Phase of a switch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Phase {
-    /// The coordinator has no fencing number yet.
+    /// The coordinator has requested a fencing token.
     Taking,
     /// No switch is in flight.
     Idle,
-    /// A map waits for its identity.
+    /// A map has no identity from the log yet.
     Proposing,
     /// Ranks load a map.
     Staging(MapId),
-    /// The log is asked to decide.
+    /// The decision is submitted to the log.
     Deciding(MapId),
-    /// The log is asked to abandon.
+    /// The abandonment is submitted to the log.
     Abandoning(MapId),
-    /// Ranks begin to run under the decided map.
+    /// Ranks start to run under the decided map.
     Activating(MapId),
-    /// The log is asked to record that all ranks run under it.
+    /// The completion is submitted to the log.
     Settling(MapId),
-    /// Another instance coordinates the group.
+    /// Another coordinator has taken over the group.
     Deposed,
 }
 
-/// How the last switch ended.
+/// Outcome of a switch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Ending {
     /// All ranks run under the map.
     Settled(MapId),
-    /// The map was given up.
+    /// The map was abandoned.
     Abandoned(MapId, AbandonCause),
 }
 
-/// Why a map was given up.
+/// Reason why a map was abandoned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum AbandonCause {
-    /// A rank did not load it in time.
+    /// A rank did not load it before the timeout.
     Late,
-    /// A rank could not load it.
+    /// A rank failed to load it.
     Failed,
-    /// An operator paused rebalancing, or the plan was withdrawn.
+    /// An operator paused rebalancing, or the caller withdrew the map.
     Withdrawn,
 }
 
@@ -80,7 +80,7 @@
     nonce: u64,
     policy: SwitchPolicy,
     phase: Phase,
-    since: Time,
+    entered_at: Time,
     fence: Fence,
     group: Option<GroupState>,
     proposed: Option<Arc<ExpertMap>>,
@@ -99,7 +99,7 @@
 }
 
 impl Coordinator {
-    /// Starts a coordinator that has no fencing number yet.
+    /// Creates a coordinator that has no fencing token yet.
     ///
     /// `nonce` differs at each start of `holder`.
     pub fn new(name: GroupName, holder: InstanceName, nonce: u64, policy: SwitchPolicy) -> Self {
@@ -109,7 +109,7 @@
             nonce,
             policy,
             phase: Phase::Taking,
-            since: Time::ZERO,
+            entered_at: Time::ZERO,
             fence: Fence(0),
             group: None,
             proposed: None,
@@ -119,27 +119,27 @@
         }
     }
 
-    /// Where the switch stands.
+    /// Current phase.
     pub fn phase(&self) -> Phase {
         self.phase
     }
 
-    /// How the last switch ended, if this coordinator saw one end.
+    /// Outcome of the last switch that ended under this coordinator.
     pub fn ending(&self) -> Option<Ending> {
         self.ending
     }
 
-    /// Group as last read from the log.
+    /// Group as last read from the log; `None` before that.
     pub fn group(&self) -> Option<&GroupState> {
         self.group.as_ref()
     }
 
-    /// Newest status of each rank.
+    /// Newest status of each rank, by number.
     pub fn ranks(&self) -> &[Option<RankStatus>] {
         &self.ranks
     }
 
-    /// Proposes a map; false if a switch is in flight.
+    /// Proposes a map; false unless the phase is `Idle`.
     pub fn propose(&mut self, map: ExpertMap, now: Time) -> (bool, Vec<Action>) {
         if self.phase != Phase::Idle {
             return (false, Vec::new());
@@ -149,7 +149,7 @@
         (true, self.tick(now))
     }
 
-    /// Gives up the switch in flight unless it is decided already.
+    /// Abandons the switch in flight if its map is staged and not submitted for decision.
     pub fn withdraw(&mut self, now: Time) -> Vec<Action> {
         match self.phase {
             Phase::Staging(id) => self.abandon(id, AbandonCause::Withdrawn, now),
@@ -157,7 +157,7 @@
         }
     }
 
-    /// Sends again what has not been answered; called on a period.
+    /// Resends unanswered messages and commands; called periodically.
     pub fn tick(&mut self, now: Time) -> Vec<Action> {
         let mut actions = match self.phase {
             Phase::Taking => vec![self.take()],
@@ -170,22 +170,25 @@
             Phase::Settling(id) => self.submit_settle(id),
         };
         if !matches!(self.phase, Phase::Taking | Phase::Deposed) {
-            actions.extend(self.discard_dead());
+            actions.extend(self.discard_unused());
         }
         actions
     }
 
-    /// Takes in a rank's status.
+    /// Receives a message; only a rank's status is used.
     pub fn receive(&mut self, message: Message, now: Time) -> Vec<Action> {
         let Message::Status(status) = message else {
             return Vec::new();
         };
         let rank = usize::from(status.rank);
-        let Some(known) = self.ranks.get(rank) else {
+        let Some(previous) = self.ranks.get(rank) else {
             return Vec::new();
         };
-        let age = |s: &RankStatus| (s.incarnation, s.epoch, s.step);
-        if known.as_ref().is_some_and(|k| age(k) > age(&status)) {
+        let version = |s: &RankStatus| (s.incarnation, s.epoch, s.step);
+        if previous
+            .as_ref()
+            .is_some_and(|p| version(p) > version(&status))
+        {
             return Vec::new();
         }
         let mut actions = Vec::new();
@@ -197,7 +200,7 @@
         actions
     }
 
-    /// Takes in the reply of the log to a command of this coordinator.
+    /// Receives the reply of the log to a command of this coordinator.
     pub fn replied(&mut self, reply: Reply, now: Time) -> Vec<Action> {
         match (reply, self.phase) {
             (Reply::Refused(Refusal::Fenced), Phase::Taking | Phase::Deposed) => Vec::new(),
@@ -239,14 +242,14 @@
         }
     }
 
-    /// Whether a reply names an identity later than all known ones.
+    /// Whether the identity is later than all identities of the group read from the log.
     fn is_new(&self, id: MapId) -> bool {
-        self.group.as_ref().is_some_and(|g| id > g.last())
+        self.group.as_ref().is_some_and(|g| id > g.last_id())
     }
 
     fn enter(&mut self, phase: Phase, now: Time) {
         self.phase = phase;
-        self.since = now;
+        self.entered_at = now;
     }
 
     fn take(&self) -> Action {
@@ -292,7 +295,7 @@
 
     fn staged(&mut self, id: MapId, now: Time) -> Vec<Action> {
         if let (Some(group), Some(map)) = (&mut self.group, self.proposed.take()) {
-            group.note_staged(StagedMap { id, map, at: now });
+            group.record_staged(StagedMap { id, map, at: now });
         }
         self.enter(Phase::Staging(id), now);
         self.tick(now)
@@ -300,7 +303,7 @@
 
     /// Orders ranks that are not ready to load the staged map.
     fn stage(&mut self, id: MapId, now: Time) -> Vec<Action> {
-        if now.since(self.since) > self.policy.staging {
+        if now.since(self.entered_at) > self.policy.staging {
             return self.abandon(id, AbandonCause::Late, now);
         }
         let Some(group) = &self.group else {
@@ -340,7 +343,7 @@
         self.ranks.iter().flatten().any(|s| s.failed == Some(id))
     }
 
-    /// Ranks that are not known to pass `test`.
+    /// Ranks without a status or whose status fails `test`.
     fn waiting<F>(&self, test: F) -> Vec<u16>
     where
         F: Fn(&RankStatus) -> bool,
@@ -377,7 +380,7 @@
         self.tick(now)
     }
 
-    /// Tells the leader of the steps, and has ranks that restarted load the map.
+    /// Reports the decided map to the leader and orders restarted ranks to load it.
     fn activate(&self, id: MapId) -> Vec<Action> {
         let Some(group) = &self.group else {
             return Vec::new();
@@ -411,7 +414,7 @@
         }
         self.ending = Some(Ending::Settled(id));
         self.enter(Phase::Idle, now);
-        self.discard_dead()
+        self.discard_unused()
     }
 
     fn abandon(&mut self, id: MapId, cause: AbandonCause, now: Time) -> Vec<Action> {
@@ -434,19 +437,19 @@
         }
         self.ending = Some(Ending::Abandoned(id, self.cause));
         self.enter(Phase::Idle, now);
-        self.discard_dead()
+        self.discard_unused()
     }
 
-    /// Orders ranks to free maps that will not be used any more.
-    fn discard_dead(&self) -> Vec<Action> {
+    /// Orders ranks to free maps that are no longer used.
+    fn discard_unused(&self) -> Vec<Action> {
         let Some(group) = &self.group else {
             return Vec::new();
         };
         let mut actions = Vec::new();
         for status in self.ranks.iter().flatten() {
             let held = status.ready.iter().chain(&status.loading);
-            let dead = held.filter(|id| !group.needs(**id));
-            let orders = dead.map(|id| self.send(status.rank, MapOrder::Discard { id: *id }));
+            let unused = held.filter(|id| !group.needs(**id));
+            let orders = unused.map(|id| self.send(status.rank, MapOrder::Discard { id: *id }));
             actions.extend(orders);
         }
         actions
--- a/decision/experts/src/switch/leader.rs
+++ b/decision/experts/src/switch/leader.rs
@@ -1,27 +1,27 @@
-//! Leader of the steps: names the map of each step before it runs.
+//! Leader of the steps: assigns a map to each step before it runs.
 //!
-//! The leader runs beside the agent of one fixed rank. It grants steps in
-//! ranges ahead of the ranks, so no rank waits for it. A new epoch begins when
-//! the leader or any rank has restarted: all ranks first close the older
-//! epochs, so no two leaders can grant steps that both run. A decided map is
-//! granted only when every rank has its weights in place.
+//! The leader runs next to the agent of one fixed rank. It grants ranges of
+//! steps ahead of the ranks, so that no rank waits for it. A new epoch begins
+//! when the leader or any rank restarts: all ranks close the older epochs first,
+//! so that steps granted by two leaders never both run. A decided map is granted
+//! only once its weights are loaded on every rank.
 
 use pimentotide_model::{Fence, GroupName, Incarnation};
 
 use super::message::{Action, Epoch, Grant, MapOrder, Message, Peer, RankStatus};
 use crate::{Command, DecidedMap, Reply};
 
-/// Steps granted ahead of the slowest rank.
-const WINDOW_STEPS: u64 = 16;
+/// Number of steps granted ahead of the slowest rank.
+const GRANT_WINDOW_STEPS: u64 = 16;
 
-/// Life cycle of a leader.
+/// State of a leader.
 #[derive(Clone, Debug, PartialEq)]
-enum Life {
-    /// Waits for its term.
+enum State {
+    /// Waits for a term from the log.
     Starting,
-    /// Waits for all ranks to close older epochs.
+    /// Waits for all ranks to enter the epoch and load the current map.
     Opening,
-    /// Grants steps.
+    /// Has granted the steps before `end`.
     Granting { end: u64 },
 }
 
@@ -30,7 +30,7 @@
 pub struct Leader {
     group: GroupName,
     incarnation: Incarnation,
-    life: Life,
+    state: State,
     epoch: Epoch,
     floor: Fence,
     decided: DecidedMap,
@@ -40,12 +40,12 @@
 }
 
 impl Leader {
-    /// Starts a leader of `ranks` ranks that has no term yet.
+    /// Creates a leader of `ranks` ranks that has no term yet.
     pub fn new(group: GroupName, incarnation: Incarnation, ranks: u16) -> Self {
         Self {
             group,
             incarnation,
-            life: Life::Starting,
+            state: State::Starting,
             epoch: Epoch::default(),
             floor: Fence(0),
             decided: DecidedMap::default(),
@@ -55,32 +55,32 @@
         }
     }
 
-    /// Sends again what has not been answered; called on a period.
+    /// Resends the current request or state; called periodically.
     pub fn tick(&mut self) -> Vec<Action> {
-        match self.life {
-            Life::Starting => vec![self.ask_term()],
-            Life::Opening => self.send_open(),
-            Life::Granting { .. } => self.send_grants(),
+        match self.state {
+            State::Starting => vec![self.request_term()],
+            State::Opening => self.send_open(),
+            State::Granting { .. } => self.send_grants(),
         }
     }
 
-    /// Takes in the reply of the log to a command of this leader.
+    /// Receives the reply of the log to a command of this leader.
     pub fn replied(&mut self, reply: Reply) -> Vec<Action> {
         let Reply::Leading { fence, decided } = reply else {
             return Vec::new();
         };
-        if self.life != Life::Starting {
+        if self.state != State::Starting {
             return Vec::new();
         }
         self.epoch = Epoch {
             term: fence,
             round: 0,
         };
-        self.learn(decided);
+        self.update_decided(decided);
         self.open_round()
     }
 
-    /// Takes in a message.
+    /// Receives a message; orders below the highest fencing token are ignored.
     pub fn receive(&mut self, message: Message) -> Vec<Action> {
         match message {
             Message::Status(status) => self.status(&status),
@@ -89,21 +89,21 @@
                 order: MapOrder::Decided(decided),
             } if fence >= self.floor => {
                 self.floor = fence;
-                self.learn(decided);
+                self.update_decided(decided);
                 self.advance()
             }
             _ => Vec::new(),
         }
     }
 
-    fn ask_term(&self) -> Action {
+    fn request_term(&self) -> Action {
         Action::Submit(Command::Lead {
             group: self.group.clone(),
             incarnation: self.incarnation,
         })
     }
 
-    fn learn(&mut self, decided: DecidedMap) {
+    fn update_decided(&mut self, decided: DecidedMap) {
         if decided.id > self.decided.id {
             self.decided = decided;
         }
@@ -111,7 +111,7 @@
 
     fn open_round(&mut self) -> Vec<Action> {
         self.epoch.round += 1;
-        self.life = Life::Opening;
+        self.state = State::Opening;
         self.current = self.decided.clone();
         self.grants.clear();
         self.send_open()
@@ -143,58 +143,58 @@
 
     fn status(&mut self, status: &RankStatus) -> Vec<Action> {
         let index = usize::from(status.rank);
-        if index >= self.ranks.len() || self.life == Life::Starting {
+        if index >= self.ranks.len() || self.state == State::Starting {
             return Vec::new();
         }
-        let known = self.ranks[index].replace(status.clone());
-        let Some(known) = known else {
+        let previous = self.ranks[index].replace(status.clone());
+        let Some(previous) = previous else {
             return self.advance();
         };
-        if known.incarnation > status.incarnation {
-            self.ranks[index] = Some(known);
+        if previous.incarnation > status.incarnation {
+            self.ranks[index] = Some(previous);
             return Vec::new();
         }
-        let restarted = known.incarnation < status.incarnation;
-        let stale = (known.epoch, known.step) > (status.epoch, status.step);
+        let restarted = previous.incarnation < status.incarnation;
+        let stale = (previous.epoch, previous.step) > (status.epoch, status.step);
         if !restarted && stale {
-            self.ranks[index] = Some(known);
+            self.ranks[index] = Some(previous);
             return Vec::new();
         }
-        let lost = restarted && known.epoch == self.epoch;
-        match self.life {
-            Life::Granting { .. } if restarted => self.open_round(),
-            Life::Opening if lost => self.open_round(),
+        let left_epoch = restarted && previous.epoch == self.epoch;
+        match self.state {
+            State::Granting { .. } if restarted => self.open_round(),
+            State::Opening if left_epoch => self.open_round(),
             _ => self.advance(),
         }
     }
 
     fn advance(&mut self) -> Vec<Action> {
-        match self.life {
-            Life::Starting => Vec::new(),
-            Life::Opening => self.begin(),
-            Life::Granting { end } => self.extend(end),
+        match self.state {
+            State::Starting => Vec::new(),
+            State::Opening => self.start_granting(),
+            State::Granting { end } => self.extend(end),
         }
     }
 
-    /// Begins to grant once all ranks are in the epoch with the weights in place.
-    fn begin(&mut self) -> Vec<Action> {
+    /// Starts to grant once all ranks are in the epoch and have the weights loaded.
+    fn start_granting(&mut self) -> Vec<Action> {
         if !self.all(|s, leader| s.epoch == leader.epoch && s.ready.contains(&leader.current.id)) {
             return Vec::new();
         }
         let steps = self.ranks.iter().flatten().map(|s| s.step + 1);
         let first = steps.max().unwrap_or(1).max(self.current.step);
-        self.life = Life::Granting { end: first };
+        self.state = State::Granting { end: first };
         self.extend(first)
     }
 
     /// Grants steps up to the window ahead of the slowest rank.
     fn extend(&mut self, end: u64) -> Vec<Action> {
         let steps = self.ranks.iter().flatten();
-        let inside = steps.filter(|s| s.epoch == self.epoch).map(|s| s.step);
-        let slowest = inside.min().unwrap_or(0).max(self.first_step(end));
+        let current = steps.filter(|s| s.epoch == self.epoch).map(|s| s.step);
+        let slowest = current.min().unwrap_or(0).max(self.first_step(end));
         self.grants.retain(|g| g.end > slowest);
-        let goal = slowest + WINDOW_STEPS;
-        if goal < end + WINDOW_STEPS / 2 && self.switch_step(end) != Some(end) {
+        let goal = slowest + GRANT_WINDOW_STEPS;
+        if goal < end + GRANT_WINDOW_STEPS / 2 && self.switch_step(end) != Some(end) {
             return Vec::new();
         }
         self.grant(end, goal.max(end + 1));
@@ -205,11 +205,11 @@
         self.grants.first().map_or(end, |g| g.first)
     }
 
-    /// Step from which the decided map can follow the current one.
+    /// First step that can run under the decided map; `None` until all ranks have its weights.
     fn switch_step(&self, end: u64) -> Option<u64> {
         let newer = self.decided.id > self.current.id;
-        let armed = newer && self.all(|s, leader| s.ready.contains(&leader.decided.id));
-        armed.then(|| self.decided.step.max(end))
+        let ready = newer && self.all(|s, leader| s.ready.contains(&leader.decided.id));
+        ready.then(|| self.decided.step.max(end))
     }
 
     fn grant(&mut self, first: u64, goal: u64) {
@@ -222,7 +222,7 @@
             first = step;
         }
         self.push(first, goal);
-        self.life = Life::Granting { end: goal };
+        self.state = State::Granting { end: goal };
     }
 
     fn push(&mut self, first: u64, end: u64) {
--- a/decision/experts/src/switch/message.rs
+++ b/decision/experts/src/switch/message.rs
@@ -1,7 +1,7 @@
-//! Messages of a switch between coordinator, leading rank and ranks.
+//! Messages of a switch between coordinator, leader and ranks.
 //!
-//! Each message states a fact and may be lost, late or sent twice: a receiver
-//! takes in what is newer than what it knows and drops the rest.
+//! Each message holds state and may be lost, delayed or duplicated: a receiver
+//! applies newer state and ignores the rest.
 
 use std::sync::Arc;
 
@@ -13,32 +13,32 @@
 /// Rank whose agent leads the steps.
 pub const LEADING_RANK: u16 = 0;
 
-/// Term of the leading rank and round of grants within it; only rises.
+/// Term of the leader and round of grants within it; never decreases.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Epoch {
-    /// Fencing number of the term.
+    /// Fencing token of the term.
     pub term: Fence,
-    /// Round of grants.
+    /// Round of grants, from 1.
     pub round: u32,
 }
 
-/// Steps that all ranks run under one map.
+/// Range of steps that all ranks run under one map.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Grant {
     /// First step.
     pub first: u64,
-    /// Step after the last.
+    /// End, exclusive.
     pub end: u64,
-    /// Map.
+    /// Map that the steps run under.
     pub map: MapId,
 }
 
-/// Place that a message goes to.
+/// Destination of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Peer {
-    /// Coordinator of the group, wherever it is.
+    /// Current coordinator of the group.
     Coordinator,
     /// Leader of the steps.
     Leader,
@@ -46,7 +46,7 @@
     Rank(u16),
 }
 
-/// What a coordinator orders; carries a fencing number.
+/// Order of a coordinator, sent with its fencing token.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum MapOrder {
     /// Load the weights of a map.
@@ -55,26 +55,26 @@
         id: MapId,
         /// Content.
         map: Arc<ExpertMap>,
-        /// What this rank has to load.
+        /// Experts that this rank has to load.
         loads: Vec<Load>,
     },
-    /// Free the weights of a map that will not be used any more.
+    /// Free the weights of a map that is no longer used.
     Discard {
         /// Identity.
         id: MapId,
     },
-    /// A map is decided; goes to the leader of the steps.
+    /// A map is decided; sent to the leader.
     Decided(DecidedMap),
 }
 
-/// What a rank's agent knows of itself.
+/// Status that a rank's agent reports.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct RankStatus {
     /// Rank.
     pub rank: u16,
-    /// Start of the agent.
+    /// Incarnation of the agent.
     pub incarnation: Incarnation,
-    /// Grants that the agent honours.
+    /// Newest epoch received; grants of other epochs are ignored.
     pub epoch: Epoch,
     /// Last step started.
     pub step: u64,
@@ -84,66 +84,66 @@
     pub ready: Vec<MapId>,
     /// Maps whose weights are being loaded.
     pub loading: Vec<MapId>,
-    /// Map whose weights the rank cannot load.
+    /// Map whose weights failed to load last.
     pub failed: Option<MapId>,
-    /// Lowest fencing number that the agent accepts, once it has learnt it.
+    /// Lowest fencing token that the agent accepts; `None` until received after a start.
     pub floor: Option<Fence>,
 }
 
-/// Message between two machines of a switch.
+/// Message between two state machines of a switch.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
     /// Coordinator to rank or leader.
     Order {
-        /// Fencing number of the coordinator.
+        /// Fencing token of the coordinator.
         fence: Fence,
         /// Order.
         order: MapOrder,
     },
     /// Coordinator to a rank that has started.
     Welcome {
-        /// Start that asked.
+        /// Incarnation of the agent that the floor applies to.
         incarnation: Incarnation,
-        /// Lowest fencing number to accept.
+        /// Lowest fencing token to accept.
         floor: Fence,
     },
     /// Rank to coordinator and to leader.
     Status(RankStatus),
-    /// Leader to rank: closes all older epochs.
+    /// Leader to rank: opens an epoch and closes all older ones.
     Open {
         /// New epoch.
         epoch: Epoch,
-        /// Map that its first steps run under.
+        /// Map that the first steps of the epoch run under.
         decided: DecidedMap,
     },
-    /// Leader to rank: steps of an epoch that have not ended everywhere.
+    /// Leader to rank: steps of an epoch that some rank has not finished.
     Grants {
         /// Epoch.
         epoch: Epoch,
-        /// Steps with their maps, without gaps.
+        /// Ranges of steps without gaps between them.
         grants: Vec<Grant>,
     },
 }
 
-/// What a machine of a switch asks its shell to do.
+/// Side effect that a state machine of a switch requests from its caller.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send a message.
     Send(Peer, Message),
-    /// Have a command committed and the reply brought back.
+    /// Commit a command in the log and return the reply.
     Submit(Command),
-    /// Load weights, then report them loaded.
+    /// Load weights, then report the result.
     Load {
         /// Map.
         id: MapId,
         /// Content.
         map: Arc<ExpertMap>,
-        /// What to load; all of the rank's experts if none.
+        /// Experts to load; all of the rank's experts if `None`.
         loads: Option<Vec<Load>>,
     },
     /// Free the staged weights of a map.
     Free(MapId),
-    /// Give up the step that runs.
+    /// Abort this step, which is running.
     Abort(u64),
     /// Run a step.
     Run {
--- a/decision/experts/src/switch/mod.rs
+++ b/decision/experts/src/switch/mod.rs
@@ -1,4 +1,4 @@
-//! Switch of a group from one map to the next, with one map in each step.
+//! Switch of a group of ranks to another map, such that each step runs under one map.
 
 mod agent;
 mod coordinator;
