--- a/decision/experts/tests/it/budget.rs
+++ b/decision/experts/tests/it/budget.rs
@@ -1,4 +1,4 @@
-//! Shares of the weights store never exceed its rate; cold starts go first.
+//! Leased shares of the weights store never exceed its rate; cold starts have priority.
 
 use std::time::Duration;
 
@@ -35,12 +35,12 @@
     ) {
         let mut budget = budget();
         let mut now = Time::ZERO;
-        // What holders believe that they may use, by identifier.
+        // Leases as the holders have them, by identifier.
         let mut held: std::collections::BTreeMap<u8, Lease> = Default::default();
-        for (id, cold, wanted, pause, back) in steps {
+        for (id, cold, wanted, pause, release) in steps {
             now += Duration::from_millis(pause);
             let name = format!("load-{id}");
-            if back {
+            if release {
                 budget.release(&OrderId::from(name.as_str()));
                 held.remove(&id);
             } else {
@@ -56,7 +56,7 @@
     }
 
     #[test]
-    fn a_bucket_never_gives_more_than_an_hour_allows(
+    fn bucket_never_exceeds_the_hourly_rate(
         steps in prop::collection::vec((0..600_u64, 0..1_200_u64), 1..80),
     ) {
         let group = GroupName::from("group");
@@ -71,7 +71,7 @@
             if budget.spend(&group, RATE, &plan, now) && fresh {
                 spent.push((now, bytes));
             }
-            // A bucket gives what it held at the start and what came in since.
+            // The bucket starts full and gains `RATE` per hour.
             let total: u64 = spent.iter().map(|(_, b)| b).sum();
             let gained = RATE + RATE * now.as_millis() / 3_600_000;
             prop_assert!(total <= gained + 1, "{} of {}", total, gained);
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn a_waiting_cold_start_holds_rebalancing_back() {
+fn waiting_cold_start_blocks_rebalancing() {
     let mut budget = budget();
     let mut now = Time::ZERO;
     let moving = request("move", Purpose::Rebalance, RATE);
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn a_plan_is_paid_for_once() {
+fn resent_plan_is_charged_once() {
     let group = GroupName::from("group");
     let mut budget = budget();
     let plan = |id: &str| PlanCost {
--- a/decision/experts/tests/it/coordinator.rs
+++ b/decision/experts/tests/it/coordinator.rs
@@ -1,4 +1,7 @@
-//! A coordinator takes no reply to an older command for the answer to a newer one.
+//! A coordinator ignores replies to commands of an earlier switch.
+//!
+//! Commands are resent until answered, so replies can arrive after the switch
+//! that they belong to; taken for newer replies they would end the next switch early.
 
 use std::sync::Arc;
 
@@ -10,7 +13,7 @@
 
 const NOW: Time = Time::from_millis(1);
 
-struct Site {
+struct Harness {
     log: Decisions,
     coordinator: Coordinator,
     replies: Vec<Reply>,
@@ -23,7 +26,7 @@
     place(&layout, &Demand::new(4, &weights, &[1.0; 2])).expect("layout fits")
 }
 
-fn site() -> Site {
+fn harness() -> Harness {
     let name = GroupName::from("group");
     let mut log = Decisions::default();
     let form = Command::Form {
@@ -34,18 +37,18 @@
     log.apply(&form, Time::ZERO);
     let holder = InstanceName::from("control-1");
     let coordinator = Coordinator::new(name, holder, 1, SwitchPolicy::default());
-    let mut site = Site {
+    let mut harness = Harness {
         log,
         coordinator,
         replies: Vec::new(),
     };
-    let actions = site.coordinator.tick(NOW);
-    site.commit(&actions);
-    site
+    let actions = harness.coordinator.tick(NOW);
+    harness.commit(&actions);
+    harness
 }
 
-impl Site {
-    /// Commits what is submitted, and keeps all replies for later.
+impl Harness {
+    /// Commits submitted commands and records all replies.
     fn commit(&mut self, actions: &[Action]) {
         for action in actions {
             if let Action::Submit(command) = action {
@@ -57,7 +60,7 @@
         }
     }
 
-    /// Reports both ranks with these maps in place; returns what is submitted.
+    /// Reports both ranks with these maps loaded; returns the coordinator's actions.
     fn report(&mut self, step: u64, active: u64, ready: &[u64]) -> Vec<Action> {
         let status = |rank| RankStatus {
             rank,
@@ -84,35 +87,38 @@
 }
 
 #[test]
-fn replies_to_the_last_switch_do_not_touch_the_next_one() {
-    let mut site = site();
-    site.propose(1);
-    let actions = site.report(1, 1, &[1, 2]);
-    site.commit(&actions);
-    let actions = site.report(2, 2, &[1, 2]);
-    site.commit(&actions);
-    assert_eq!(site.coordinator.phase(), Phase::Idle);
-    let late = site.replies.clone();
-    let (_, _) = site.coordinator.propose(map(2), NOW);
-    let check = |site: &mut Site, phase: Phase| {
-        assert_eq!(site.coordinator.phase(), phase);
+fn late_replies_to_an_earlier_switch_are_ignored() {
+    let mut harness = harness();
+    harness.propose(1);
+    let actions = harness.report(1, 1, &[1, 2]);
+    harness.commit(&actions);
+    let actions = harness.report(2, 2, &[1, 2]);
+    harness.commit(&actions);
+    assert_eq!(harness.coordinator.phase(), Phase::Idle);
+    let late = harness.replies.clone();
+    let (_, _) = harness.coordinator.propose(map(2), NOW);
+    let check = |harness: &mut Harness, phase: Phase| {
+        assert_eq!(harness.coordinator.phase(), phase);
         for reply in &late {
-            site.coordinator.replied(reply.clone(), NOW);
-            assert_eq!(site.coordinator.phase(), phase, "after {reply:?}");
+            harness.coordinator.replied(reply.clone(), NOW);
+            assert_eq!(harness.coordinator.phase(), phase, "after {reply:?}");
         }
     };
-    check(&mut site, Phase::Proposing);
-    let actions = site.coordinator.tick(NOW);
-    site.commit(&actions);
-    check(&mut site, Phase::Staging(MapId(3)));
-    let decide = site.report(3, 2, &[2, 3]);
-    check(&mut site, Phase::Deciding(MapId(3)));
-    site.commit(&decide);
-    check(&mut site, Phase::Activating(MapId(3)));
-    let settle = site.report(4, 3, &[2, 3]);
-    check(&mut site, Phase::Settling(MapId(3)));
-    site.commit(&settle);
-    assert_eq!(site.coordinator.phase(), Phase::Idle);
-    let group = site.log.group(&GroupName::from("group")).expect("formed");
+    check(&mut harness, Phase::Proposing);
+    let actions = harness.coordinator.tick(NOW);
+    harness.commit(&actions);
+    check(&mut harness, Phase::Staging(MapId(3)));
+    let decide = harness.report(3, 2, &[2, 3]);
+    check(&mut harness, Phase::Deciding(MapId(3)));
+    harness.commit(&decide);
+    check(&mut harness, Phase::Activating(MapId(3)));
+    let settle = harness.report(4, 3, &[2, 3]);
+    check(&mut harness, Phase::Settling(MapId(3)));
+    harness.commit(&settle);
+    assert_eq!(harness.coordinator.phase(), Phase::Idle);
+    let group = harness
+        .log
+        .group(&GroupName::from("group"))
+        .expect("formed");
     assert_eq!((group.decided.id, group.decided.settled), (MapId(3), true));
 }
--- a/decision/experts/tests/it/decisions.rs
+++ b/decision/experts/tests/it/decisions.rs
@@ -1,4 +1,4 @@
-//! Commands of rival coordinators: one decision, once.
+//! Commands of competing coordinators and leaders: each switch has exactly one outcome.
 
 use std::sync::Arc;
 
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn an_older_coordinator_changes_nothing() {
+fn commands_of_an_older_coordinator_are_rejected() {
     let mut log = formed();
     let old = take(&mut log, "a", 1);
     assert_eq!(take(&mut log, "a", 1), old, "resent");
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn the_first_of_decide_and_abandon_stands() {
+fn first_of_decide_and_abandon_is_final() {
     let mut log = formed();
     let fence = take(&mut log, "a", 1);
     assert_eq!(stage(&mut log, fence, 1), Reply::Staged(MapId(2)));
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn an_older_leader_gets_no_term() {
+fn older_leader_gets_no_term() {
     let mut log = formed();
     let mut lead = |start| {
         let command = Command::Lead {
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn fencing_numbers_only_rise() {
+fn fencing_tokens_increase_strictly() {
     let mut log = formed();
     let mut last = Fence(0);
     for round in 0..20 {
--- a/decision/experts/tests/it/fencing.rs
+++ b/decision/experts/tests/it/fencing.rs
@@ -1,4 +1,5 @@
-//! What an agent refuses: old numbers, old epochs, and everything while unsure.
+//! Agents reject outdated fencing tokens, ignore older epochs, and reject orders
+//! until they have received the floor of fencing tokens.
 
 use std::sync::Arc;
 
@@ -33,12 +34,12 @@
     }
 }
 
-fn welcome(agent: &mut RankAgent, start: u64, floor: u64) {
+fn welcome(agent: &mut RankAgent, incarnation: u64, floor: u64) {
     let message = Message::Welcome {
-        incarnation: Incarnation(start),
+        incarnation: Incarnation(incarnation),
         floor: Fence(floor),
     };
-    agent.receive(message).expect("taken in");
+    agent.receive(message).expect("accepted");
 }
 
 fn epoch(term: u64) -> Epoch {
@@ -59,7 +60,7 @@
         epoch: epoch(term),
         decided,
     };
-    agent.receive(message).expect("taken in")
+    agent.receive(message).expect("accepted")
 }
 
 fn grant(agent: &mut RankAgent, term: u64, first: u64, end: u64, id: u64) -> Vec<Action> {
@@ -72,11 +73,11 @@
         epoch: epoch(term),
         grants: vec![grant],
     };
-    agent.receive(message).expect("taken in")
+    agent.receive(message).expect("accepted")
 }
 
 fn refusal(agent: &mut RankAgent, message: Message) -> ErrorKind {
-    agent.receive(message).expect_err("refused").kind
+    agent.receive(message).expect_err("rejected").kind
 }
 
 fn runs(actions: &[Action]) -> Vec<(u64, MapId)> {
@@ -88,7 +89,7 @@
 }
 
 #[test]
-fn orders_are_refused_until_the_floor_is_learnt() {
+fn orders_are_rejected_until_the_floor_is_received() {
     let mut agent = RankAgent::new(1, Incarnation(2));
     assert_eq!(refusal(&mut agent, stage(9, 2)), ErrorKind::NotCurrent);
     welcome(&mut agent, 1, 3);
@@ -96,18 +97,18 @@
     assert_eq!(
         kind,
         ErrorKind::NotCurrent,
-        "the welcome was for an older start"
+        "the welcome was for an older incarnation"
     );
     welcome(&mut agent, 2, 5);
     assert_eq!(refusal(&mut agent, stage(4, 2)), ErrorKind::Fenced);
     assert!(agent.receive(stage(7, 2)).is_ok());
     assert_eq!(refusal(&mut agent, stage(6, 3)), ErrorKind::Fenced);
     welcome(&mut agent, 2, 5);
-    assert_eq!(agent.floor(), Some(Fence(7)), "the floor only rises");
+    assert_eq!(agent.floor(), Some(Fence(7)), "the floor never decreases");
 }
 
 #[test]
-fn a_freed_map_is_not_staged_again() {
+fn freed_map_is_not_staged_again() {
     let mut agent = RankAgent::new(1, Incarnation(1));
     welcome(&mut agent, 1, 1);
     agent.receive(stage(1, 2)).expect("accepted");
@@ -120,12 +121,12 @@
 }
 
 #[test]
-fn steps_are_held_until_granted_with_weights_in_place() {
+fn steps_are_held_until_granted_and_weights_are_loaded() {
     let mut agent = RankAgent::new(1, Incarnation(1));
     open(&mut agent, 1, 1);
     assert!(
         runs(&grant(&mut agent, 1, 1, 3, 1)).is_empty(),
-        "no weights"
+        "weights not loaded"
     );
     assert_eq!(runs(&agent.loaded(MapId(1))), [(1, MapId(1))]);
     assert_eq!(runs(&agent.finished(epoch(1), 1)), [(2, MapId(1))]);
@@ -146,7 +147,7 @@
 }
 
 #[test]
-fn a_granted_step_keeps_its_map() {
+fn granted_step_keeps_its_map() {
     let mut agent = RankAgent::new(1, Incarnation(1));
     open(&mut agent, 1, 1);
     agent.loaded(MapId(1));
--- a/decision/experts/tests/it/group.rs
+++ b/decision/experts/tests/it/group.rs
@@ -1,4 +1,4 @@
-//! Group of ranks, coordinators and log under virtual time, with faults on messages.
+//! Simulation of a group: ranks, coordinators and the log in virtual time, with message faults.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
@@ -13,39 +13,39 @@
 
 use crate::network::{Fault, Network};
 
-/// Ranks in the group.
+/// Number of ranks in the group.
 pub(crate) const RANKS: u16 = 4;
 
-/// Period on which machines send again.
+/// Interval at which state machines resend.
 pub(crate) const TICK: Duration = Duration::from_millis(50);
 
-/// Time that a step takes once all ranks have started it.
+/// Duration of a step once all ranks have started it.
 pub(crate) const STEP: Duration = Duration::from_millis(25);
 
-/// Time that the weights of a map take to load on the first rank; others take longer.
+/// Load time of a map's weights on rank 0; rank n takes n + 1 times as long.
 const LOAD: Duration = Duration::from_millis(150);
 
-/// Time after which a process that died runs again.
+/// Delay until a crashed rank restarts.
 pub(crate) const RESTART: Duration = Duration::from_millis(300);
 
-/// Time after which another control instance coordinates.
+/// Delay until another control instance coordinates after a crash.
 pub(crate) const ELECTION: Duration = Duration::from_millis(400);
 
-/// Time at which the next map is proposed.
+/// Time at which the second map is proposed.
 pub(crate) const PROPOSAL: Duration = Duration::from_millis(1_000);
 
 /// One process of the group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Process {
     Control,
-    /// Coordinator that has been replaced and does not know.
+    /// Replaced coordinator that keeps running.
     OldControl,
-    /// Leader that has been replaced and does not know.
+    /// Replaced leader that keeps running.
     OldLeader,
     Rank(u16),
 }
 
-/// What travels between processes.
+/// Content of a message between processes.
 #[derive(Clone, Debug)]
 enum Content {
     Message(Peer, Message),
@@ -71,7 +71,7 @@
     weights: BTreeSet<MapId>,
 }
 
-/// Whole group with its ledger of steps.
+/// Simulated group with its record of steps and violated invariants.
 pub(crate) struct Group {
     now: Time,
     queue: BinaryHeap<Reverse<(Time, u64)>>,
@@ -91,7 +91,7 @@
     pub(crate) longest_gap: Duration,
     pub(crate) steps: u64,
     target: ExpertMap,
-    pub(crate) fails_load: Option<u16>,
+    pub(crate) failing_rank: Option<u16>,
 }
 
 fn layout() -> Layout {
@@ -105,7 +105,7 @@
 }
 
 impl Group {
-    /// Forms a group and proposes another map later.
+    /// Forms a group and schedules the proposal of another map.
     pub(crate) fn new(network: Network) -> Self {
         let name = GroupName::from("group");
         let mut log = Decisions::default();
@@ -134,7 +134,7 @@
             longest_gap: Duration::ZERO,
             steps: 0,
             target: map(5),
-            fails_load: None,
+            failing_rank: None,
         };
         for rank in 0..RANKS {
             group.ranks.push(Rank {
@@ -166,17 +166,17 @@
         self.longest_gap = self.longest_gap.max(end.since(self.last_step));
     }
 
-    /// Present time.
+    /// Current virtual time.
     pub(crate) fn now(&self) -> Time {
         self.now
     }
 
-    /// Whether the switch has ended everywhere and steps go on.
+    /// Whether the switch has ended on all ranks and steps still run.
     pub(crate) fn is_settled(&self) -> bool {
         self.unsettled().is_empty()
     }
 
-    /// Notes as violations what keeps the switch from having ended.
+    /// Records as violations the reasons why the switch has not ended.
     pub(crate) fn check_settled(&mut self) {
         let found = self.unsettled();
         self.violations.extend(found);
@@ -188,7 +188,7 @@
         let (decided, settled, staged) = (state.decided.id, state.decided.settled, &state.staged);
         if !settled || staged.is_some() {
             found.push(format!(
-                "not settled: {decided} {settled} {}",
+                "switch not ended: map {decided}, settled {settled}, staged {}",
                 staged.is_some()
             ));
         }
@@ -209,12 +209,12 @@
         found
     }
 
-    /// Map decided last.
+    /// Latest decided map.
     pub(crate) fn decided(&self) -> MapId {
         self.log.group(&self.name).expect("group formed").decided.id
     }
 
-    /// How the last switch ended, as the present coordinator saw it.
+    /// Outcome of the last switch that ended under the current coordinator.
     pub(crate) fn ending(&self) -> Option<Ending> {
         self.coordinator.as_ref()?.ending()
     }
@@ -265,7 +265,7 @@
         }
     }
 
-    /// Has another process take over while the first one goes on.
+    /// Starts a replacement of a process while the first one keeps running.
     fn split(&mut self, process: Process) {
         let old = match process {
             Process::Control => {
@@ -445,12 +445,12 @@
     fn start_step(&mut self, rank: u16, epoch: Epoch, step: u64, map: MapId) {
         if !self.ranks[usize::from(rank)].weights.contains(&map) {
             self.violations
-                .push(format!("rank {rank} runs {map} without its weights"));
+                .push(format!("rank {rank} runs map {map} without its weights"));
         }
         let decided = self.log.group(&self.name).expect("group formed").decided.id;
         if map > decided {
             self.violations
-                .push(format!("rank {rank} runs {map} before it is decided"));
+                .push(format!("rank {rank} runs map {map} before it is decided"));
         }
         let ranks = self.started.entry((epoch, step)).or_default();
         if ranks.insert(rank, map).is_some() {
@@ -479,7 +479,7 @@
     }
 
     fn loaded(&mut self, rank: u16, start: u64, id: MapId) {
-        let fails = self.fails_load == Some(rank) && id > MapId(1);
+        let fails = self.failing_rank == Some(rank) && id > MapId(1);
         let state = &mut self.ranks[usize::from(rank)];
         if !state.alive || state.start != start {
             return;
--- a/decision/experts/tests/it/main.rs
+++ b/decision/experts/tests/it/main.rs
@@ -1,4 +1,4 @@
-//! Tests of expert maps: planner, switch and decisions.
+//! Tests of expert maps: planner, switch, replicated decisions and orders.
 
 mod budget;
 mod coordinator;
--- a/decision/experts/tests/it/manager.rs
+++ b/decision/experts/tests/it/manager.rs
@@ -1,4 +1,4 @@
-//! A group from drifted popularity to a proposed switch, and paused groups.
+//! Manager of a group: from a change of popularity to a staged map, and pausing.
 
 use std::sync::Arc;
 
@@ -8,10 +8,10 @@
 };
 use pimentotide_model::{Declarations, GroupName, InstanceName, Time};
 
-/// Bytes that may be moved in an hour.
+/// Bytes that may be moved per hour.
 const HOURLY: u64 = 64 << 30;
 
-struct Site {
+struct Harness {
     log: Decisions,
     manager: Manager,
     declarations: Declarations,
@@ -26,7 +26,7 @@
     (0..32).map(heat).collect()
 }
 
-fn site() -> Site {
+fn harness() -> Harness {
     let layout = Layout::uniform(2, 16, 4, 6, 2);
     let demand = Demand::new(16, &weights(0), &[1.0; 4]);
     let mut log = Decisions::default();
@@ -39,15 +39,15 @@
     let holder = InstanceName::from("control-1");
     let coordinator = Coordinator::new(name(), holder, 1, SwitchPolicy::default());
     let planner = Planner::new(layout, PlanPolicy::default()).expect("layout fits");
-    Site {
+    Harness {
         log,
         manager: Manager::new(name(), 1, coordinator, planner),
         declarations: Declarations::default(),
     }
 }
 
-impl Site {
-    /// Commits what the manager submits, and what follows from the replies.
+impl Harness {
+    /// Commits the manager's commands and those that result from the replies.
     fn commit(&mut self, mut actions: Vec<Action>, now: Time) {
         while let Some(action) = actions.pop() {
             if let Action::Submit(command) = action {
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Runs for `seconds` with expert `hot` the hottest.
+    /// Runs for `seconds` with expert `hot` as the most popular.
     fn run(&mut self, start: u64, seconds: u64, hot: usize) {
         for second in (start..start + seconds).step_by(10) {
             let now = Time::from_millis(second * 1_000);
@@ -80,42 +80,45 @@
 }
 
 #[test]
-fn drifted_popularity_is_paid_for_and_staged() {
-    let mut site = site();
-    site.run(0, 20, 0);
-    assert_eq!(site.manager.coordinator().phase(), Phase::Idle);
+fn change_of_popularity_is_charged_and_staged() {
+    let mut harness = harness();
+    harness.run(0, 20, 0);
+    assert_eq!(harness.manager.coordinator().phase(), Phase::Idle);
     let mut second = 20;
-    while site.manager.coordinator().phase() == Phase::Idle && second < 1_200 {
-        site.run(second, 10, 9);
+    while harness.manager.coordinator().phase() == Phase::Idle && second < 1_200 {
+        harness.run(second, 10, 9);
         second += 10;
     }
     let staged = Phase::Staging(MapId(2));
-    assert_eq!(site.manager.coordinator().phase(), staged);
+    assert_eq!(harness.manager.coordinator().phase(), staged);
     let now = Time::from_millis(second * 1_000);
-    let Some(PlanNote::Proposed { bytes, .. }) = site.manager.plan().cloned() else {
-        panic!("{:?}", site.manager.plan());
+    let Some(PlanNote::Proposed { bytes, .. }) = harness.manager.plan().cloned() else {
+        panic!("{:?}", harness.manager.plan());
     };
-    let left = site.log.budget().allowance(&name(), HOURLY, now);
+    let left = harness.log.budget().allowance(&name(), HOURLY, now);
     assert!(bytes > 0 && left <= HOURLY - bytes + HOURLY / 360 + 1);
-    let budget = site.log.budget().clone();
-    let status = site.manager.status(&budget, now).expect("group read");
+    let budget = harness.log.budget().clone();
+    let status = harness.manager.status(&budget, now).expect("group read");
     assert_eq!((status.map, status.settled), (MapId(1), true));
     assert_eq!(status.phase, staged);
 }
 
 #[test]
-fn pausing_plans_nothing_and_gives_up_what_is_staged() {
-    let mut site = site();
-    site.run(0, 300, 0);
-    site.declarations.paused.push(name());
-    site.run(300, 600, 9);
-    assert_eq!(site.manager.coordinator().phase(), Phase::Idle);
-    site.declarations.paused.clear();
-    site.run(900, 60, 9);
-    assert_eq!(site.manager.coordinator().phase(), Phase::Staging(MapId(2)));
-    site.declarations.frozen = true;
-    site.run(960, 10, 9);
-    assert_eq!(site.manager.coordinator().phase(), Phase::Idle);
-    let group = site.log.group(&name()).expect("formed");
+fn paused_group_plans_nothing_and_abandons_the_staged_map() {
+    let mut harness = harness();
+    harness.run(0, 300, 0);
+    harness.declarations.paused.push(name());
+    harness.run(300, 600, 9);
+    assert_eq!(harness.manager.coordinator().phase(), Phase::Idle);
+    harness.declarations.paused.clear();
+    harness.run(900, 60, 9);
+    assert_eq!(
+        harness.manager.coordinator().phase(),
+        Phase::Staging(MapId(2))
+    );
+    harness.declarations.frozen = true;
+    harness.run(960, 10, 9);
+    assert_eq!(harness.manager.coordinator().phase(), Phase::Idle);
+    let group = harness.log.group(&name()).expect("formed");
     assert_eq!((group.decided.id, &group.staged), (MapId(1), &None));
 }
--- a/decision/experts/tests/it/network.rs
+++ b/decision/experts/tests/it/network.rs
@@ -1,4 +1,4 @@
-//! Faults on chosen messages, and random loss, delay and duplication.
+//! Simulated network with faults at chosen messages and random loss, delay and duplication.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,13 +8,13 @@
 
 use crate::group::Process;
 
-/// Time that a message takes.
+/// Latency of a message.
 const DELAY: Duration = Duration::from_millis(1);
 
-/// Time that a late message takes.
+/// Latency of a late message.
 const LATE: Duration = Duration::from_millis(700);
 
-/// What goes wrong when one message is sent.
+/// Fault injected when a message is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Fault {
     Lose,
@@ -24,9 +24,9 @@
     KillReceiver,
     KillControl,
     KillLeader,
-    /// Another coordinator takes over while the first one goes on.
+    /// Another coordinator takes over while the first one keeps running.
     SplitControl,
-    /// Another process of the leading rank starts while the leader goes on.
+    /// Another process of the leading rank starts while the first leader keeps running.
     SplitLeader,
 }
 
@@ -44,7 +44,7 @@
     ];
 }
 
-/// When a message arrives, and what else happens.
+/// Deliveries of a message and the fault injected with it.
 pub(crate) struct Transmission {
     pub(crate) delays: Vec<Duration>,
     pub(crate) fault: Option<Fault>,
@@ -59,7 +59,7 @@
 }
 
 impl Network {
-    /// A line that fails at the messages of these numbers.
+    /// Injects each fault at the message of this number, counted from 1.
     pub(crate) fn with_faults<I>(faults: I) -> Self
     where
         I: IntoIterator<Item = (u64, Fault)>,
@@ -72,7 +72,7 @@
         }
     }
 
-    /// A line that loses, delays and doubles each message with this chance.
+    /// Loses, delays or duplicates each message with this probability.
     pub(crate) fn with_loss(loss: f64, seed: u64) -> Self {
         Self {
             count: 0,
@@ -82,20 +82,21 @@
         }
     }
 
-    /// Messages sent.
+    /// Number of messages sent between processes.
     pub(crate) fn count(&self) -> u64 {
         self.count
     }
 
-    /// Ends random faults.
+    /// Stops random faults.
     pub(crate) fn heal(&mut self) {
         self.loss = 0.0;
     }
 
-    /// Passes one message on.
+    /// Returns the deliveries of the next message.
     pub(crate) fn transmit(&mut self, from: Process, to: Process) -> Transmission {
         if from == to && from != Process::Control {
-            // Machines in one process call each other; the log is not one of them.
+            // State machines in one process call each other directly. The control
+            // process reaches the log over the network.
             let delays = vec![Duration::ZERO];
             return Transmission {
                 delays,
--- a/decision/experts/tests/it/rollout.rs
+++ b/decision/experts/tests/it/rollout.rs
@@ -1,4 +1,4 @@
-//! A version change never leaves too little warm capacity.
+//! A version change keeps enough warm capacity in service.
 
 use std::collections::BTreeMap;
 
@@ -28,15 +28,15 @@
 }
 
 fn warm(members: &Members) -> u32 {
-    let bears = |m: &&Member| m.serving && m.version.is_some() && m.warmth == Warmth::Warm;
-    members.values().filter(bears).map(|m| m.capacity).sum()
+    let usable = |m: &&Member| m.serving && m.version.is_some() && m.warmth == Warmth::Warm;
+    members.values().filter(usable).map(|m| m.capacity).sum()
 }
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(300))]
 
     #[test]
-    fn warm_capacity_covers_demand_through_the_change(
+    fn warm_capacity_covers_demand_throughout_the_change(
         count in 1..8_u32,
         capacity in 1..20_u32,
         demand in 0..100_u32,
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn a_change_runs_to_its_end_or_says_why_it_waits() {
+fn change_completes_or_reports_why_it_waits() {
     let mut all = members(3, 10);
     assert_eq!(step(&all, 25), RolloutStep::Wait(Wait::Capacity));
     assert!(matches!(step(&all, 10), RolloutStep::Order(..)));
--- a/decision/experts/tests/it/switch.rs
+++ b/decision/experts/tests/it/switch.rs
@@ -1,4 +1,7 @@
-//! One map in each step, whatever is lost, late or doubled and whoever dies.
+//! Each step runs under one map, and the switch ends, under message faults and crashes.
+//!
+//! Faults are injected at each message of a switch: loss, duplication, delay, a
+//! crash of a process, and a replaced coordinator or leader that keeps running.
 
 use std::time::Duration;
 
@@ -10,22 +13,22 @@
 use crate::group::Group;
 use crate::network::{Fault, Network};
 
-/// Time at which the map is proposed.
+/// Time shortly before the map is proposed.
 const PROPOSED: Time = Time::from_millis(990);
 
-/// Time by which an undisturbed switch has ended.
+/// Time by which a switch without faults has ended.
 const ENDED: Time = Time::from_millis(2_300);
 
-/// Time by which a disturbed switch has ended.
+/// Time by which a switch with faults has to end.
 const RECOVERED: Time = Time::from_millis(7_000);
 
-/// Time from which a disturbed switch may have ended.
+/// Time of the first check whether a switch with faults has ended.
 const SETTLED: Time = Time::from_millis(2_600);
 
-/// Time between two looks whether it has.
-const LOOK: Duration = Duration::from_millis(200);
+/// Interval between two checks whether it has ended.
+const CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Pairs of faults that are drawn.
+/// Number of random pairs of faults.
 const PAIRS: usize = 200;
 
 fn message_range() -> (u64, u64) {
@@ -43,14 +46,14 @@
     let mut group = Group::new(Network::with_faults(faults));
     group.run(SETTLED);
     while group.now() < RECOVERED && !group.is_settled() {
-        group.run(group.now() + LOOK);
+        group.run(group.now() + CHECK_INTERVAL);
     }
     group.check_settled();
     group.violations
 }
 
 #[test]
-fn undisturbed_switch_stalls_no_step() {
+fn switch_without_faults_delays_no_step() {
     let mut group = Group::new(Network::with_faults([]));
     group.run(PROPOSED);
     let before = group.longest_gap;
@@ -75,27 +78,27 @@
 }
 
 #[test]
-fn each_message_lost_doubled_or_late() {
+fn switch_ends_with_any_message_lost_duplicated_or_late() {
     check_each_message(&[Fault::Lose, Fault::Twice, Fault::Late]);
 }
 
 #[test]
-fn sender_or_receiver_dies_at_each_message() {
+fn switch_ends_after_a_crash_of_sender_or_receiver_at_any_message() {
     check_each_message(&[Fault::KillSender, Fault::KillReceiver]);
 }
 
 #[test]
-fn control_or_leader_dies_at_each_message() {
+fn switch_ends_after_a_crash_of_coordinator_or_leader_at_any_message() {
     check_each_message(&[Fault::KillControl, Fault::KillLeader]);
 }
 
 #[test]
-fn a_replaced_coordinator_or_leader_goes_on_at_each_message() {
+fn replaced_coordinator_or_leader_that_keeps_running_is_fenced_at_any_message() {
     check_each_message(&[Fault::SplitControl, Fault::SplitLeader]);
 }
 
 #[test]
-fn two_faults_at_drawn_messages() {
+fn switch_ends_after_two_faults_at_random_messages() {
     let (first, last) = message_range();
     let mut rng = ChaCha8Rng::seed_from_u64(7_340_033);
     for _ in 0..PAIRS {
@@ -110,7 +113,7 @@
 }
 
 #[test]
-fn faults_while_the_group_forms() {
+fn switch_ends_after_a_fault_while_the_group_forms() {
     let (first, _) = message_range();
     for message in 1..first.min(40) {
         for fault in Fault::ALL {
@@ -124,7 +127,7 @@
 }
 
 #[test]
-fn random_loss_delay_and_duplication() {
+fn switch_ends_under_random_loss_delay_and_duplication() {
     for seed in 0..20 {
         let mut group = Group::new(Network::with_loss(0.3, seed));
         group.run(RECOVERED);
@@ -137,9 +140,9 @@
 }
 
 #[test]
-fn failed_load_leaves_the_group_on_the_old_map() {
+fn failed_load_keeps_the_old_map() {
     let mut group = Group::new(Network::with_faults([]));
-    group.fails_load = Some(2);
+    group.failing_rank = Some(2);
     group.run(RECOVERED);
     group.check_settled();
     assert_eq!(group.violations, Vec::<String>::new());
