--- a/peers/instance/src/client.rs
+++ b/peers/instance/src/client.rs
@@ -1,8 +1,8 @@
-//! The calling side of the protocol between processes.
+//! JSON-RPC client of one peer process.
 //!
-//! A client keeps one connection to its peer and opens a new one when a call
-//! finds it broken. A peer that could not be reached is left alone for a short
-//! pause, so that callers fail fast instead of queueing for the same timeout.
+//! A client keeps one connection to its peer and reconnects on the first call
+//! after the connection broke. After a failed attempt, calls fail at once for a
+//! short delay instead of queueing for the same connect timeout.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -20,19 +20,19 @@
 
 /// Largest request or answer, bytes.
 const MAX_MESSAGE_BYTES: u32 = 16 << 20;
-/// Most calls under way on one connection.
-const MAX_CALLS: usize = 4_096;
+/// Maximum number of calls in flight on one connection.
+const MAX_CONCURRENT_CALLS: usize = 4_096;
 
-/// How long a client waits for its peer.
+/// Timeouts of a client.
 #[derive(Clone, Copy, Debug)]
 pub struct PeerTimeouts {
-    /// For a connection.
+    /// Limit for connecting, including the handshake.
     pub connect: Duration,
-    /// For the answer to a call.
+    /// Default limit for the answer to a call.
     pub call: Duration,
-    /// After a failed connection, before the next attempt.
+    /// Delay between a failed connection attempt and the next.
     pub pause: Duration,
-    /// Silence after which a connection counts as broken.
+    /// Time without traffic after which a connection counts as broken.
     pub silence: Duration,
 }
 
@@ -63,16 +63,17 @@
 #[derive(Default)]
 struct Link {
     client: Option<Arc<WsClient>>,
-    failed: Option<Instant>,
+    /// Time of the last failed attempt; `None` after a success.
+    failed_at: Option<Instant>,
 }
 
 impl PeerClient {
-    /// Prepares a client with the usual timeouts; connects with the first call.
+    /// Creates a client with the default timeouts; connects on the first call.
     pub fn connect(address: SocketAddr, token: Token) -> Self {
         Self::with_timeouts(address, token, PeerTimeouts::default())
     }
 
-    /// Prepares a client with the given timeouts; connects with the first call.
+    /// Creates a client with the given timeouts; connects on the first call.
     pub fn with_timeouts(address: SocketAddr, token: Token, timeouts: PeerTimeouts) -> Self {
         Self {
             shared: Arc::new(Shared {
@@ -89,7 +90,7 @@
         self.shared.address
     }
 
-    /// Calls `method` and waits for its answer for the usual time.
+    /// Calls `method` with the default call timeout.
     pub async fn call<P, R>(&self, method: &str, params: P) -> Result<R, Failure>
     where
         P: ToRpcParams + Send,
@@ -99,7 +100,7 @@
             .await
     }
 
-    /// Calls `method` and waits for its answer for at most `limit`.
+    /// Calls `method` with the timeout `limit`.
     pub async fn call_within<P, R>(
         &self,
         limit: Duration,
@@ -133,8 +134,8 @@
         N: DeserializeOwned,
     {
         let client = self.client().await?;
-        let asked = client.subscribe(method, params, end);
-        match timeout(self.shared.timeouts.call, asked).await {
+        let subscribing = client.subscribe(method, params, end);
+        match timeout(self.shared.timeouts.call, subscribing).await {
             Ok(Ok(subscription)) => Ok(subscription),
             Ok(Err(e)) => Err(failure_of(&e)),
             Err(_) => Err(Failure::new(
@@ -150,19 +151,19 @@
             return Ok(client.clone());
         }
         link.client = None;
-        let pause = self.shared.timeouts.pause;
-        if link.failed.is_some_and(|at| at.elapsed() < pause) {
-            return Err(self.unreachable("the last attempt failed"));
+        let retry_delay = self.shared.timeouts.pause;
+        if link.failed_at.is_some_and(|at| at.elapsed() < retry_delay) {
+            return Err(self.unreachable("the last connection attempt just failed"));
         }
         match self.open().await {
             Ok(client) => {
                 let client = Arc::new(client);
                 link.client = Some(client.clone());
-                link.failed = None;
+                link.failed_at = None;
                 Ok(client)
             }
             Err(failure) => {
-                link.failed = Some(Instant::now());
+                link.failed_at = Some(Instant::now());
                 Err(failure)
             }
         }
@@ -182,18 +183,18 @@
         let connecting = WsClientBuilder::default()
             .set_headers(headers)
             .connection_timeout(timeouts.connect)
-            // Each call brings its own limit; this one only bounds forgotten ones.
+            // Each call has its own timeout; this one bounds calls whose caller was dropped.
             .request_timeout(Duration::from_secs(60))
             .max_request_size(MAX_MESSAGE_BYTES)
             .max_response_size(MAX_MESSAGE_BYTES)
-            .max_concurrent_requests(MAX_CALLS)
+            .max_concurrent_requests(MAX_CONCURRENT_CALLS)
             .enable_ws_ping(ping)
             .build(format!("ws://{}", self.shared.address));
-        // The library's own limit leaves out the handshake.
+        // The connection timeout of the library does not cover the handshake.
         match timeout(timeouts.connect, connecting).await {
             Ok(Ok(client)) => Ok(client),
             Ok(Err(e)) => Err(self.unreachable(e)),
-            Err(_) => Err(self.unreachable("no connection in time")),
+            Err(_) => Err(self.unreachable("timed out while connecting")),
         }
     }
 
--- a/peers/instance/src/clock.rs
+++ b/peers/instance/src/clock.rs
@@ -1,15 +1,15 @@
-//! Monotonic clock of a process, read as the time that decisions are told.
+//! Monotonic clock that supplies the time of decisions in one process.
 
 use std::time::Instant;
 
 use pimentotide_model::Time;
 
-/// Clock that starts at zero; copies agree with each other.
+/// Monotonic clock that starts at zero; copies share the origin.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock(Instant);
 
 impl Clock {
-    /// Starts a clock.
+    /// Starts a clock at the current instant.
     pub fn start() -> Self {
         Self(Instant::now())
     }
@@ -19,12 +19,12 @@
         self.at(Instant::now())
     }
 
-    /// Time of an instant, zero if it lies before the start.
+    /// Converts an instant to a time; zero if it is before the start.
     pub fn at(self, instant: Instant) -> Time {
         Time::ZERO + instant.saturating_duration_since(self.0)
     }
 
-    /// Instant that a time stands for.
+    /// Converts a time of this clock to an instant.
     pub fn instant(self, time: Time) -> Instant {
         self.0 + time.since(Time::ZERO)
     }
--- a/peers/instance/src/lib.rs
+++ b/peers/instance/src/lib.rs
@@ -1,12 +1,11 @@
 //! Protocol between the instances of one deployment.
 //!
-//! Work travels from entries to agents over HTTP as [`work`] orders answered by
-//! frames. Everything else is JSON-RPC over persistent connections:
-//! [`directory`] carries declarations, leases and the directory of upstreams.
-//! [`replica`] is a control replica with its part in the replicated log.
-//! [`PeerServer`] answers on one port for every module that the process has;
-//! [`PeerClient`] is the calling side. Every port of this protocol admits only
-//! holders of the deployment's [`Token`].
+//! Entries send [`work`] orders to agents over HTTP and receive frames in answer.
+//! Everything else is JSON-RPC over persistent connections: [`directory`] carries
+//! declarations, leases and the directory of upstreams, and [`replica`] is a
+//! member of the replicated control log. [`PeerServer`] serves all modules of a
+//! process on one port; [`PeerClient`] calls it. Every port of this protocol
+//! accepts only requests that carry the deployment's [`Token`].
 
 pub mod directory;
 pub mod replica;
--- a/peers/instance/src/rpc.rs
+++ b/peers/instance/src/rpc.rs
@@ -1,10 +1,10 @@
-//! Failures as JSON-RPC errors and back.
+//! Conversion between failures and JSON-RPC errors.
 
 use jsonrpsee::core::client::Error;
 use jsonrpsee::types::ErrorObjectOwned;
 use pimentotide_model::{ErrorKind, Failure, Ran};
 
-/// JSON-RPC code of every failure that the system itself reports.
+/// JSON-RPC error code of every [`Failure`].
 const FAILURE_CODE: i32 = -32_000;
 
 /// Converts a failure into the error of a JSON-RPC answer.
@@ -12,13 +12,13 @@
     ErrorObjectOwned::owned(FAILURE_CODE, failure.to_string(), Some(failure))
 }
 
-/// Converts what a JSON-RPC client reports into a failure.
+/// Converts an error of a JSON-RPC client into a failure.
 pub fn failure_of(error: &Error) -> Failure {
     match error {
-        Error::Call(object) => failure_in(object),
+        Error::Call(object) => decode_failure(object),
         Error::RequestTimeout => Failure::new(
             ErrorKind::DeadlineExceeded,
-            "no answer from the peer in time",
+            "the peer did not answer in time",
         ),
         Error::ParseError(e) => Failure::new(
             ErrorKind::OutcomeUnknown,
@@ -31,11 +31,11 @@
     }
 }
 
-fn failure_in(object: &ErrorObjectOwned) -> Failure {
-    let carried = object
+fn decode_failure(object: &ErrorObjectOwned) -> Failure {
+    let decoded = object
         .data()
         .and_then(|d| serde_json::from_str::<Failure>(d.get()).ok());
-    carried.unwrap_or_else(|| {
+    decoded.unwrap_or_else(|| {
         Failure::new(ErrorKind::Internal, object.message()).with_ran(Ran::Unknown)
     })
 }
--- a/peers/instance/src/server.rs
+++ b/peers/instance/src/server.rs
@@ -1,7 +1,7 @@
-//! The port on which a process answers the other processes of its deployment.
+//! JSON-RPC server for the other processes of a deployment.
 //!
-//! Several modules share one port. A connection that does not prove membership
-//! by the deployment's token is refused before any method sees it.
+//! All modules of a process share one port. A request without the deployment's
+//! token is rejected before it reaches a method.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -18,23 +18,23 @@
 
 use crate::Token;
 
-/// Most connections at once; every process of a deployment keeps one or two.
+/// Maximum number of connections; every process of a deployment keeps one or two.
 const MAX_CONNECTIONS: u32 = 16_384;
 /// Largest request or answer, bytes.
 const MAX_MESSAGE_BYTES: u32 = 16 << 20;
-/// Longest wait for running calls at a stop.
-const STOP_PATIENCE: Duration = Duration::from_secs(2);
-/// Most subscriptions on one connection.
+/// Limit for finishing running calls during shutdown.
+const STOP_TIMEOUT: Duration = Duration::from_secs(2);
+/// Maximum number of subscriptions on one connection.
 const MAX_SUBSCRIPTIONS: u32 = 1_024;
 
-/// A running server for the other processes of the deployment.
+/// Running JSON-RPC server for the other processes of the deployment.
 pub struct PeerServer {
     address: SocketAddr,
     handle: ServerHandle,
 }
 
 impl PeerServer {
-    /// Listens on `address` and answers members that hold `token`.
+    /// Listens on `address` and serves `modules` to clients that send `token`.
     pub async fn bind<I, M>(address: SocketAddr, token: Token, modules: I) -> Result<Self, Failure>
     where
         I: IntoIterator<Item = M>,
@@ -69,17 +69,17 @@
         })
     }
 
-    /// Address on which the server listens.
+    /// Address on which the server listens, with the port that was assigned.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Stops accepting, lets running calls finish for a while and closes all connections.
+    /// Stops accepting, waits up to 2 s for running calls and closes all connections.
     pub async fn stop(self) {
-        // An error only says that the server has stopped already.
+        // Fails only if the server has stopped already.
         let _ = self.handle.stop();
-        if timeout(STOP_PATIENCE, self.handle.stopped()).await.is_err() {
-            log::warn!("{}: calls were still running at the stop", self.address);
+        if timeout(STOP_TIMEOUT, self.handle.stopped()).await.is_err() {
+            log::warn!("{}: stopped while calls were still running", self.address);
         }
     }
 }
@@ -114,7 +114,7 @@
     }
 }
 
-/// Refuses requests that do not carry the deployment's token.
+/// Rejects requests that do not carry the deployment's token.
 #[derive(Clone)]
 struct Guard<S> {
     inner: S,
@@ -138,12 +138,12 @@
         if self.token.admits(header.map(|h| h.as_bytes())) {
             return Either::Left(self.inner.call(request));
         }
-        log::warn!("refused a connection that does not carry the deployment's token");
-        Either::Right(ready(Ok(refusal())))
+        log::warn!("rejected a request without the deployment's token");
+        Either::Right(ready(Ok(forbidden())))
     }
 }
 
-fn refusal() -> HttpResponse {
+fn forbidden() -> HttpResponse {
     let answer = ErrorKind::Forbidden.response();
     let mut response = HttpResponse::new(HttpBody::from(answer.title));
     if let Ok(status) = answer.status.try_into() {
--- a/peers/instance/src/submit.rs
+++ b/peers/instance/src/submit.rs
@@ -1,4 +1,4 @@
-//! Commands that entries and agents submit to the replicated log.
+//! Submission of commands to the replicated log by entries and agents.
 
 use std::future::Future;
 use std::sync::Arc;
@@ -19,34 +19,34 @@
 
 use crate::{PeerClient, rpc_error};
 
-/// Method that takes an encoded command and answers with the encoded response.
+/// Method that accepts an encoded command and returns the encoded response.
 const SUBMIT: &str = "control_submit";
 
-/// Method that answers with the contents under suspicion.
+/// Method that returns the fingerprints of requests suspected of crashing upstreams.
 const SUSPECTS: &str = "control_suspects";
 
-/// Time that one replica has for an answer.
-const ATTEMPT: Duration = Duration::from_millis(1_000);
+/// Limit for the answer of one replica.
+const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// Pause after all replicas have failed in turn.
-const PAUSE: Duration = Duration::from_millis(50);
+/// Delay after every replica has failed once.
+const RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Replica that puts commands into the log.
+/// Replica that accepts commands for the log.
 pub trait Submit: Clone + Send + Sync + 'static {
     /// Proposes a command; completes once it is committed and applied.
     fn submit(&self, command: Command) -> impl Future<Output = Result<Response, Failure>> + Send;
 
-    /// Contents that may not run like any other, as of a moment after the call.
+    /// Fingerprints of requests suspected of crashing upstreams, as of a time after the call.
     fn suspects(&self) -> impl Future<Output = Result<Vec<Fingerprint>, Failure>> + Send;
 }
 
-/// Builds the method by which other processes submit commands.
+/// Builds the methods by which other processes submit commands and list suspects.
 ///
-/// Orders of operators are refused, since they come through the operators' port.
+/// Rejects orders of operators, which are accepted on the operators' port only.
 ///
 /// # Errors
 ///
-/// Fails if the method stands twice.
+/// Fails if a method is registered twice.
 pub fn submit_module<S>(replica: S) -> Result<RpcModule<S>, RegisterMethodError>
 where
     S: Submit,
@@ -54,7 +54,7 @@
     let mut module = RpcModule::new(replica);
     module.register_async_method(SUBMIT, |params, replica, _| async move {
         let text: String = params.one()?;
-        let command = command_in(&text).map_err(|e| rpc_error(&e))?;
+        let command = decode_command(&text).map_err(|e| rpc_error(&e))?;
         let response = replica.submit(command).await.map_err(|e| rpc_error(&e))?;
         let bytes = encode(&response)
             .map_err(|e| rpc_error(&Failure::new(ErrorKind::Internal, e.to_string())))?;
@@ -66,20 +66,20 @@
     Ok(module)
 }
 
-fn command_in(text: &str) -> Result<Command, Failure> {
+fn decode_command(text: &str) -> Result<Command, Failure> {
     let malformed = |detail: String| Failure::new(ErrorKind::InvalidRequest, detail);
     let bytes = STANDARD
         .decode(text)
         .map_err(|e| malformed(e.to_string()))?;
     let command = decode(&bytes, MAX_COMMAND_BYTES).map_err(|e| malformed(e.to_string()))?;
     if matches!(command, Command::Declare(_)) {
-        let detail = "orders of operators are taken on the operators' port only";
+        let detail = "orders of operators are accepted on the operators' port only";
         return Err(Failure::new(ErrorKind::Forbidden, detail));
     }
     Ok(command)
 }
 
-/// Submits commands to whichever replica takes them; clones share what they learn.
+/// Client that submits commands to any replica; clones share the preferred one.
 #[derive(Clone)]
 pub struct Submitter {
     replicas: Arc<[PeerClient]>,
@@ -87,7 +87,7 @@
 }
 
 impl Submitter {
-    /// Prepares to submit to `replicas`.
+    /// Creates a submitter for `replicas`; connects on the first call.
     pub fn open(replicas: Vec<PeerClient>) -> Self {
         Self {
             replicas: replicas.into(),
@@ -95,31 +95,31 @@
         }
     }
 
-    /// Submits a command, to one replica after the other, for at most `limit`.
+    /// Submits a command, trying the replicas in turn for at most `limit`.
     ///
-    /// Commands have to bear being submitted twice, since an answer may be lost.
+    /// Commands must be idempotent: after a lost answer, a command is sent again.
     ///
     /// # Errors
     ///
-    /// Fails with `NoQuorum` if no replica confirms the command in time; it may
-    /// take effect all the same.
+    /// Fails with `NoQuorum` if no replica confirms the command in time; the
+    /// command may still take effect.
     pub async fn submit(&self, command: &Command, limit: Duration) -> Result<Response, Failure> {
         let internal = |detail: String| Failure::new(ErrorKind::Internal, detail);
         let text = STANDARD.encode(encode(command).map_err(|e| internal(e.to_string()))?);
-        response_in(&self.ask::<String, _>(SUBMIT, [text], limit).await?)
+        decode_response(&self.call_any::<String, _>(SUBMIT, [text], limit).await?)
     }
 
-    /// Asks for the contents that may not run like any other.
+    /// Returns the fingerprints of requests suspected of crashing upstreams.
     ///
     /// # Errors
     ///
-    /// Fails with `NoQuorum` if no replica can vouch for its answer in time.
+    /// Fails with `NoQuorum` if no replica returns a confirmed answer in time.
     pub async fn suspects(&self, limit: Duration) -> Result<Vec<Fingerprint>, Failure> {
-        self.ask(SUSPECTS, [0; 0], limit).await
+        self.call_any(SUSPECTS, [0; 0], limit).await
     }
 
-    /// Asks one replica after the other until one answers.
-    async fn ask<A, P>(&self, method: &str, params: P, limit: Duration) -> Result<A, Failure>
+    /// Calls the replicas in turn until one answers.
+    async fn call_any<A, P>(&self, method: &str, params: P, limit: Duration) -> Result<A, Failure>
     where
         A: DeserializeOwned,
         P: ToRpcParams + Clone + Send,
@@ -128,7 +128,9 @@
         let mut failures = 0;
         while !self.replicas.is_empty() && Instant::now() < end {
             let position = self.preferred.load(Ordering::Relaxed) % self.replicas.len();
-            let left = end.saturating_duration_since(Instant::now()).min(ATTEMPT);
+            let left = end
+                .saturating_duration_since(Instant::now())
+                .min(ATTEMPT_TIMEOUT);
             let replica = &self.replicas[position];
             match replica.call_within(left, method, params.clone()).await {
                 Ok(answer) => return Ok(answer),
@@ -138,7 +140,7 @@
             self.preferred.store(position + 1, Ordering::Relaxed);
             failures += 1;
             if failures % self.replicas.len() == 0 {
-                tokio::time::sleep(PAUSE).await;
+                tokio::time::sleep(RETRY_DELAY).await;
             }
         }
         Err(Failure::new(
@@ -148,12 +150,12 @@
     }
 }
 
-/// Whether another replica would refuse the command as well.
+/// Whether every other replica would reject the command too.
 fn is_final(kind: ErrorKind) -> bool {
     matches!(kind, ErrorKind::InvalidRequest | ErrorKind::Forbidden)
 }
 
-fn response_in(text: &str) -> Result<Response, Failure> {
+fn decode_response(text: &str) -> Result<Response, Failure> {
     let malformed = |detail: String| Failure::new(ErrorKind::Internal, detail);
     let bytes = STANDARD
         .decode(text)
--- a/peers/instance/src/token.rs
+++ b/peers/instance/src/token.rs
@@ -1,4 +1,4 @@
-//! Secret by which the processes of one deployment know each other.
+//! Shared secret that authenticates the processes of one deployment.
 
 use std::fmt;
 
@@ -12,13 +12,13 @@
 
 const SCHEME: &str = "Bearer ";
 
-/// Why a secret cannot be used.
+/// Reason why a secret is rejected.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum TokenError {
     /// Too short or too long.
     #[display("expected {MIN_BYTES} to {MAX_BYTES} bytes")]
     Length,
-    /// Holds characters that a header cannot carry.
+    /// Contains characters other than printable ASCII.
     #[display("expected printable ASCII without spaces")]
     Characters,
 }
@@ -33,7 +33,7 @@
 }
 
 impl Token {
-    /// Takes the secret from text, without surrounding white space.
+    /// Parses a secret, ignoring surrounding white space.
     ///
     /// # Errors
     ///
@@ -56,9 +56,9 @@
         &self.header
     }
 
-    /// Whether an `Authorization` header shows this secret.
+    /// Whether an `Authorization` header carries this secret.
     ///
-    /// The time taken does not depend on where the two differ.
+    /// Compares digests, so that the time does not depend on where the two differ.
     pub fn admits(&self, header: Option<&[u8]>) -> bool {
         header.is_some_and(|h| blake3::hash(h) == self.digest)
     }
--- a/peers/instance/src/view.rs
+++ b/peers/instance/src/view.rs
@@ -1,4 +1,4 @@
-//! What an entry or an agent knows of its deployment.
+//! Configuration and membership as last received by an entry or an agent.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -9,33 +9,34 @@
     Announcement, Declarations, ErrorKind, ServiceName, UpstreamName, ZoneName,
 };
 
-/// Latest configuration and membership that a process has learnt.
+/// Latest configuration and membership that a process has received.
 #[derive(Clone, Debug, Default)]
 pub struct View {
     /// Declarations in force.
     pub declarations: Arc<Declarations>,
-    /// Upstreams that announce themselves.
+    /// Announced upstreams by name; empty where the directory is not followed.
     pub upstreams: Arc<BTreeMap<UpstreamName, Announcement>>,
-    /// Whether the lease on being current was running when the view was made.
+    /// Whether the currency lease was valid when the view was published.
     pub current: bool,
-    /// When that lease runs out; never if none.
+    /// Expiry of the lease; `None` if it does not expire.
     pub expiry: Option<Instant>,
 }
 
 impl View {
-    /// Whether the lease on being current runs now.
+    /// Whether the currency lease is valid now.
     ///
     /// Reads the clock, so that a process that was stalled does not act on a
-    /// lease that ran out meanwhile.
+    /// lease that has expired in the meantime.
     pub fn is_current(&self) -> bool {
         self.current && self.expiry.is_none_or(|e| Instant::now() < e)
     }
 
-    /// Whether `upstream` in `zone` may take new work of `service` now.
+    /// Checks that `upstream` in `zone` may accept new work of `service` now.
     ///
     /// # Errors
     ///
-    /// Fails with `OutOfService` or `NotCurrent`.
+    /// Fails with `OutOfService` if the zone or upstream is out of service, and
+    /// with `NotCurrent` if the lease has expired and the service requires it.
     pub fn admit(
         &self,
         service: &ServiceName,
