--- a/peers/instance/src/directory/confirm.rs
+++ b/peers/instance/src/directory/confirm.rs
@@ -1,4 +1,4 @@
-//! Confirmations shared by all holders that ask one replica.
+//! Quorum confirmations that all followers of one replica share.
 
 use std::time::Duration;
 
@@ -10,17 +10,17 @@
 use super::Source;
 use crate::Clock;
 
-/// Time that a quorum has to confirm; less than a holder's patience.
+/// Limit for a quorum round; shorter than a follower's timeout.
 const CONFIRM_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Latest outcome, with the time at which it was asked for.
+/// Latest successful and latest failed round, with their times.
 #[derive(Debug, Default)]
 struct Latest {
     confirmed: Option<Confirmation>,
     failed: Option<(Time, Failure)>,
 }
 
-/// Confirmations of one replica, one quorum round at a time.
+/// Confirmations of one replica; runs one quorum round at a time.
 #[derive(Debug)]
 pub(super) struct Confirmations {
     clock: Clock,
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Returns a recent confirmation, or asks the quorum for one.
+    /// Returns a recent confirmation, or runs a quorum round for a new one.
     pub(super) async fn get<S>(&self, source: &S) -> Result<Confirmation, Failure>
     where
         S: Source,
@@ -48,7 +48,7 @@
         {
             return Ok(confirmation);
         }
-        // A round that failed after this request arrived speaks for it as well.
+        // A round that failed after this request arrived holds for it as well.
         if let Some((at, failure)) = &latest.failed
             && *at >= arrived
         {
--- a/peers/instance/src/directory/follow.rs
+++ b/peers/instance/src/directory/follow.rs
@@ -1,4 +1,4 @@
-//! Holder side: follows one replica at a time and publishes a view.
+//! Follower side of the directory: watches one replica at a time and publishes a view.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -17,23 +17,23 @@
 use super::WATCH;
 use crate::{Clock, PeerClient, View};
 
-/// Time that one replica has for an answer.
-const ATTEMPT: Duration = LONG_POLL_TIMEOUT.saturating_add(LONG_POLL_MARGIN);
+/// Limit for the answer of one replica.
+const POLL_TIMEOUT: Duration = LONG_POLL_TIMEOUT.saturating_add(LONG_POLL_MARGIN);
 
-/// Who follows, and whom.
+/// Settings of a follower.
 #[derive(Clone)]
 pub struct FollowOptions {
-    /// Name of the instance.
+    /// Name of the instance that follows.
     pub instance: InstanceName,
-    /// Upstream of an agent; none for an entry.
+    /// Upstream of an agent; `None` for an entry.
     pub upstream: Option<UpstreamName>,
-    /// Whether the directory of upstreams is wanted.
+    /// Whether to receive the directory of upstreams.
     pub directory: bool,
-    /// Control replicas.
+    /// Clients of the control replicas.
     pub replicas: Vec<PeerClient>,
 }
 
-/// Running follower; stops when dropped.
+/// Background task that keeps a view up to date; stops when dropped.
 pub struct Follower {
     shared: Arc<Shared>,
     task: JoinHandle<()>,
@@ -42,57 +42,57 @@
 struct Shared {
     options: FollowOptions,
     clock: Clock,
-    held: Mutex<Holding>,
+    state: Mutex<State>,
     view: watch::Sender<View>,
-    behind: Notify,
+    outdated: Notify,
 }
 
 #[derive(Default)]
-struct Holding {
+struct State {
     watch: Watch,
     upstreams: Upstreams,
     fences: FenceGate,
 }
 
 impl Follower {
-    /// Starts to follow. Must be called within a runtime.
+    /// Starts the task. Must be called within a runtime.
     pub fn spawn(options: FollowOptions) -> Self {
         let shared = Arc::new(Shared {
             options,
             clock: Clock::start(),
-            held: Mutex::default(),
+            state: Mutex::default(),
             view: watch::Sender::new(View::default()),
-            behind: Notify::new(),
+            outdated: Notify::new(),
         });
         let task = tokio::spawn(Arc::clone(&shared).run());
         Self { shared, task }
     }
 
-    /// Latest view; not current before the first answer.
+    /// Subscribes to the view; it is not current before the first answer.
     pub fn view(&self) -> watch::Receiver<View> {
         self.shared.view.subscribe()
     }
 
-    /// Notes a revision that came with a message of another process.
+    /// Records a revision received in a message of another process.
     ///
-    /// If it is newer than the one in force, the next replica is asked at once.
+    /// If it is newer than the one in force, the next replica is polled at once.
     pub fn hear(&self, revision: Revision) {
         if self.shared.lock().watch.observe_revision(revision) {
-            self.shared.behind.notify_one();
+            self.shared.outdated.notify_one();
         }
     }
 
-    /// Accepts an order to the upstream, unless a newer one has been seen.
+    /// Accepts the fencing token of an order to the upstream.
     ///
     /// # Errors
     ///
-    /// Fails with `Fenced` on an old number and with `NotCurrent` before the
-    /// first answer of a replica.
+    /// Fails with `Fenced` if a higher token was seen before, and with
+    /// `NotCurrent` before the first answer of a replica.
     pub fn accept(&self, fence: Fence) -> Result<(), ErrorKind> {
         self.shared.lock().fences.accept(fence)
     }
 
-    /// Highest fencing number seen.
+    /// Highest fencing token seen.
     pub fn fence(&self) -> Fence {
         self.shared.lock().fences.highest().unwrap_or_default()
     }
@@ -115,8 +115,8 @@
         loop {
             let replica = &replicas[rotation.position()];
             let outcome = tokio::select! {
-                outcome = self.ask(replica, eager) => outcome,
-                () = self.behind.notified() => {
+                outcome = self.poll(replica, eager) => outcome,
+                () = self.outdated.notified() => {
                     rotation.fail();
                     continue;
                 }
@@ -127,7 +127,7 @@
                     eager = false;
                 }
                 Err(failure) => {
-                    log::debug!("replica {} did not answer: {failure}", replica.address());
+                    log::debug!("watch of replica {} failed: {failure}", replica.address());
                     sleep(rotation.fail()).await;
                     eager = true;
                 }
@@ -135,76 +135,79 @@
         }
     }
 
-    async fn ask(&self, replica: &PeerClient, eager: bool) -> Result<(), Failure> {
+    async fn poll(&self, replica: &PeerClient, eager: bool) -> Result<(), Failure> {
         let sent = self.clock.now();
         let request = self.request(eager);
-        let call = replica.call_within::<_, WatchAnswer>(ATTEMPT, WATCH, [request]);
-        let Ok(answer) = timeout(ATTEMPT, call).await else {
+        let call = replica.call_within::<_, WatchAnswer>(POLL_TIMEOUT, WATCH, [request]);
+        let Ok(answer) = timeout(POLL_TIMEOUT, call).await else {
             return Err(Failure::new(
                 ErrorKind::DeadlineExceeded,
                 "no answer in time",
             ));
         };
-        self.take(sent, &answer?)
+        self.receive(sent, &answer?)
     }
 
     fn request(&self, eager: bool) -> WatchRequest {
-        let held = self.lock();
+        let state = self.lock();
         WatchRequest {
             instance: self.options.instance.clone(),
             upstream: self.options.upstream.clone(),
-            held: held.watch.held(),
-            mark: held.upstreams.mark(),
+            held: state.watch.held(),
+            mark: state.upstreams.mark(),
             directory: self.options.directory,
             eager,
         }
     }
 
-    fn take(&self, sent: Time, answer: &WatchAnswer) -> Result<(), Failure> {
-        let mut held = self.lock();
-        match held.watch.receive(sent, answer) {
+    fn receive(&self, sent: Time, answer: &WatchAnswer) -> Result<(), Failure> {
+        let mut state = self.lock();
+        match state.watch.receive(sent, answer) {
             WatchOutcome::Stale => {
-                let detail = format!("its revision {} is old", answer.revision);
+                let detail = format!(
+                    "revision {} is older than the one in force",
+                    answer.revision
+                );
                 return Err(Failure::new(ErrorKind::StaleRevision, detail));
             }
             WatchOutcome::Repair => {
-                let detail = "its changes do not lead to its digest";
+                let detail = "the changes do not yield the digest in the answer";
                 return Err(Failure::new(ErrorKind::Internal, detail));
             }
             WatchOutcome::Changed => log::info!("revision {} is in force", answer.revision),
             WatchOutcome::Renewed => {}
         }
-        held.fences.raise_floor(answer.floor);
-        let moved = answer.directory.as_ref();
-        let events = moved.map(|update| held.upstreams.receive(update));
-        self.publish(&held, events.is_some_and(|e| !e.is_empty()));
+        state.fences.raise_floor(answer.floor);
+        let update = answer.directory.as_ref();
+        let events = update.map(|update| state.upstreams.receive(update));
+        self.publish(&state, events.is_some_and(|e| !e.is_empty()));
         Ok(())
     }
 
-    fn publish(&self, held: &Holding, moved: bool) {
+    fn publish(&self, state: &State, directory_changed: bool) {
         self.view.send_modify(|view| {
             view.current = true;
-            view.expiry = Some(self.clock.instant(held.watch.expiry()));
-            if let Some(declarations) = held.watch.declarations()
+            view.expiry = Some(self.clock.instant(state.watch.expiry()));
+            if let Some(declarations) = state.watch.declarations()
                 && (declarations.revision != view.declarations.revision
                     || *declarations != *view.declarations)
             {
                 view.declarations = Arc::new(declarations.clone());
             }
-            if moved {
-                let announcements = held.upstreams.announcements().cloned();
-                let named = announcements.map(|a| (a.upstream.clone(), a));
-                view.upstreams = Arc::new(named.collect::<BTreeMap<_, _>>());
+            if directory_changed {
+                let announcements = state.upstreams.announcements().cloned();
+                let by_name = announcements.map(|a| (a.upstream.clone(), a));
+                view.upstreams = Arc::new(by_name.collect::<BTreeMap<_, _>>());
             }
         });
     }
 
-    fn lock(&self) -> MutexGuard<'_, Holding> {
-        self.held.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, State> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// Spreads holders over the replicas by their names.
+/// Hash of the instance name, by which followers start at different replicas.
 fn seed(name: &InstanceName) -> usize {
     let mixed = name.bytes().fold(0_u32, |sum, byte| {
         sum.wrapping_mul(31).wrapping_add(u32::from(byte))
--- a/peers/instance/src/directory/mod.rs
+++ b/peers/instance/src/directory/mod.rs
@@ -1,9 +1,8 @@
-//! Declarations, currency leases and the directory of upstreams between processes.
+//! Distribution of declarations, currency leases and the directory of upstreams.
 //!
-//! A control replica answers with a [`Directory`], which reads the replicated
-//! state through a [`Source`]. Entries and agents follow it with a
-//! [`Follower`] and report themselves with an [`EntryReporter`] or an
-//! [`AgentReporter`].
+//! A control replica serves a [`Directory`], which reads the replicated state
+//! through a [`Source`]. Entries and agents watch it with a [`Follower`] and send
+//! their heartbeats with an [`EntryReporter`] or an [`AgentReporter`].
 
 mod confirm;
 mod follow;
@@ -25,13 +24,13 @@
 /// Method that answers a [`pimentotide_control::currency::WatchRequest`].
 const WATCH: &str = "directory_watch";
 
-/// Method that takes a [`pimentotide_control::directory::Report`].
+/// Method that accepts a [`pimentotide_control::directory::Report`].
 const REPORT: &str = "directory_report";
 
-/// Replicated state as the directory of one replica sees it.
+/// Access of a directory to the replicated state of its replica.
 pub trait Source: Clone + Send + Sync + 'static {
-    /// Completes once the local state holds all that a quorum knew to be
-    /// committed at a moment after the call.
+    /// Completes once the local state includes everything that was committed at
+    /// some time after the call, as confirmed by a quorum.
     ///
     /// Must fail if no quorum answers, and on a replica that is not a member.
     fn confirm(&self) -> impl Future<Output = Result<(), Failure>> + Send;
@@ -41,6 +40,6 @@
     where
         F: FnOnce(&Machine) -> T;
 
-    /// Revision in force here, with every change of it.
+    /// Subscribes to the revision in force on this replica.
     fn changes(&self) -> watch::Receiver<Revision>;
 }
--- a/peers/instance/src/directory/report.rs
+++ b/peers/instance/src/directory/report.rs
@@ -1,4 +1,4 @@
-//! Reports of agents and entries to every replica.
+//! Heartbeats and announcements that agents and entries send to every replica.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -16,24 +16,24 @@
 use super::REPORT;
 use crate::{Clock, PeerClient, View};
 
-/// Time that a replica has to take a report.
+/// Limit for a replica to answer a report.
 const REPORT_TIMEOUT: Duration = HEARTBEAT_INTERVAL;
 
-/// What an agent reports.
+/// Sources of an agent's reports.
 pub struct AgentOptions {
-    /// Control replicas, all of which get every report.
+    /// Control replicas, each of which receives every report.
     pub replicas: Vec<PeerClient>,
-    /// What the agent announces; none before the upstream has started.
+    /// Announcement of the upstream; `None` before the upstream has started.
     pub announcement: watch::Receiver<Option<Announcement>>,
-    /// How far the upstream has warmed up.
+    /// Warm-up state of the upstream.
     pub warmth: watch::Receiver<Warmth>,
-    /// Highest fencing number seen.
+    /// Highest fencing token seen.
     pub fence: watch::Receiver<Fence>,
-    /// View in force, for its revision.
+    /// View in force, of which the revision is reported.
     pub view: watch::Receiver<View>,
 }
 
-/// Running reports of an agent; stop when dropped.
+/// Background tasks that report for an agent; stop when dropped.
 pub struct AgentReporter {
     shared: Arc<Agent>,
     _tasks: JoinSet<()>,
@@ -44,11 +44,11 @@
     clock: Clock,
     announcer: Mutex<Option<Announcer>>,
     incarnation: watch::Sender<Incarnation>,
-    standby: watch::Sender<IncarnationState>,
+    state: watch::Sender<IncarnationState>,
 }
 
 impl AgentReporter {
-    /// Starts to report. Must be called within a runtime.
+    /// Starts one task per replica. Must be called within a runtime.
     pub fn spawn(options: AgentOptions) -> Self {
         let replicas = options.replicas.len();
         let shared = Arc::new(Agent {
@@ -56,7 +56,7 @@
             clock: Clock::start(),
             announcer: Mutex::default(),
             incarnation: watch::Sender::new(Incarnation(0)),
-            standby: watch::Sender::new(IncarnationState::Newest),
+            state: watch::Sender::new(IncarnationState::Newest),
         });
         let mut tasks = JoinSet::new();
         for replica in 0..replicas {
@@ -68,16 +68,18 @@
         }
     }
 
-    /// Incarnation announced, which orders to the agent must name.
+    /// Subscribes to the announced incarnation, which orders to the agent must carry.
     ///
-    /// It is the one of the announcement, raised where a replica knew a higher one.
+    /// Starts as that of the announcement and is raised above any higher one that a
+    /// replica reports.
     pub fn incarnation(&self) -> watch::Receiver<Incarnation> {
         self.shared.incarnation.subscribe()
     }
 
-    /// Whether the agent may take new work, or another process has its name.
+    /// Subscribes to whether the agent may accept new work or is superseded by
+    /// another process of the same name.
     pub fn standby(&self) -> watch::Receiver<IncarnationState> {
-        self.shared.standby.subscribe()
+        self.shared.state.subscribe()
     }
 }
 
@@ -93,18 +95,18 @@
         }
     }
 
-    /// Reports once, and once more if the replica asks for the whole.
+    /// Reports once, and once more if the replica asks for the full announcement.
     async fn exchange(&self, replica: usize) {
         for _ in 0..2 {
             let Some((report, rank)) = self.report(replica) else {
                 return;
             };
             let client = &self.options.replicas[replica];
-            let Ok(heard) = send(client, report).await else {
+            let Ok(answer) = send(client, report).await else {
                 return;
             };
-            self.take(replica, rank, heard);
-            if heard == ReportAnswer::Kept || heard == ReportAnswer::Refused {
+            self.receive(replica, rank, answer);
+            if answer == ReportAnswer::Kept || answer == ReportAnswer::Refused {
                 return;
             }
         }
@@ -125,18 +127,18 @@
         Some((announcer.report(replica), announcer.rank()))
     }
 
-    fn take(&self, replica: usize, rank: (Incarnation, u64), heard: ReportAnswer) {
+    fn receive(&self, replica: usize, rank: (Incarnation, u64), answer: ReportAnswer) {
         let mut announcer = self.lock();
         let Some(announcer) = announcer.as_mut() else {
             return;
         };
-        let standby = announcer.receive(replica, rank, heard, self.clock.now());
+        let state = announcer.receive(replica, rank, answer, self.clock.now());
         self.incarnation.send_replace(announcer.incarnation());
-        if self.standby.send_replace(standby) != standby {
+        if self.state.send_replace(state) != state {
             log::warn!("another process has taken over the name of this upstream");
         }
-        if heard == ReportAnswer::Refused {
-            log::warn!("replica {replica} refuses the announcement of this upstream");
+        if answer == ReportAnswer::Refused {
+            log::warn!("replica {replica} rejected the announcement of this upstream");
         }
     }
 
@@ -147,26 +149,26 @@
     }
 }
 
-/// What an entry reports.
+/// Sources of an entry's reports.
 #[derive(Clone)]
 pub struct EntryOptions {
     /// Name of the instance.
     pub instance: InstanceName,
-    /// Its availability zone.
+    /// Availability zone of the instance.
     pub zone: ZoneName,
-    /// Control replicas, all of which get every report.
+    /// Control replicas, each of which receives every report.
     pub replicas: Vec<PeerClient>,
-    /// View in force.
+    /// View in force, of which revision and currency are reported.
     pub view: watch::Receiver<View>,
 }
 
-/// Running reports of an entry; stop when dropped.
+/// Background tasks that report for an entry; stop when dropped.
 pub struct EntryReporter {
     _tasks: JoinSet<()>,
 }
 
 impl EntryReporter {
-    /// Starts to report. Must be called within a runtime.
+    /// Starts one task per replica. Must be called within a runtime.
     pub fn spawn(options: &EntryOptions) -> Self {
         let mut tasks = JoinSet::new();
         for replica in options.replicas.clone() {
@@ -183,7 +185,7 @@
             (view.declarations.revision, view.is_current())
         };
         let presence = presence(&options, revision, current);
-        // A report that is lost is followed by the next.
+        // A lost report is covered by the next one.
         let _ = send(&replica, Report::Entry(presence)).await;
         tokio::time::sleep(HEARTBEAT_INTERVAL).await;
     }
@@ -201,7 +203,7 @@
 async fn send(replica: &PeerClient, report: Report) -> Result<ReportAnswer, Failure> {
     let call = replica.call_within(REPORT_TIMEOUT, REPORT, [report]);
     match timeout(REPORT_TIMEOUT, call).await {
-        Ok(heard) => heard,
+        Ok(answer) => answer,
         Err(_) => Err(Failure::new(
             pimentotide_model::ErrorKind::DeadlineExceeded,
             "no answer in time",
--- a/peers/instance/src/directory/server.rs
+++ b/peers/instance/src/directory/server.rs
@@ -1,4 +1,4 @@
-//! Replica side: answers holders, hears reports.
+//! Replica side of the directory: answers watches and receives reports.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -19,10 +19,10 @@
 use super::{REPORT, Source, WATCH};
 use crate::{Clock, rpc_error};
 
-/// Time between two looks for upstreams that have gone silent.
-const TICK: Duration = Duration::from_millis(250);
+/// Interval of the check for upstreams whose heartbeats have stopped.
+const EXPIRY_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Directory of one control replica; clones share it.
+/// Directory of one control replica; clones share the state.
 #[derive(Clone)]
 pub struct Directory<S> {
     shared: Arc<Shared<S>>,
@@ -34,27 +34,27 @@
     registry: Mutex<Registry>,
     confirmations: Confirmations,
     changed: watch::Sender<u64>,
-    ticking: JoinHandle<()>,
+    expiry_task: JoinHandle<()>,
 }
 
 impl<S> Directory<S>
 where
     S: Source,
 {
-    /// Starts an empty directory; `epoch` differs for each start of any replica.
+    /// Starts an empty directory; `epoch` must differ between all starts of all replicas.
     ///
     /// Must be called within a runtime.
     pub fn spawn(source: S, epoch: u64) -> Self {
         let clock = Clock::start();
         let shared = Arc::new_cyclic(|weak: &std::sync::Weak<Shared<S>>| {
             let weak = weak.clone();
-            let ticking = tokio::spawn(async move {
+            let expiry_task = tokio::spawn(async move {
                 loop {
-                    sleep(TICK).await;
+                    sleep(EXPIRY_INTERVAL).await;
                     let Some(shared) = weak.upgrade() else {
                         return;
                     };
-                    shared.tick();
+                    shared.expire();
                 }
             });
             Shared {
@@ -63,7 +63,7 @@
                 registry: Mutex::new(Registry::new(epoch, clock.now())),
                 confirmations: Confirmations::new(clock),
                 changed: watch::Sender::new(0),
-                ticking,
+                expiry_task,
             }
         });
         Self { shared }
@@ -73,7 +73,7 @@
     ///
     /// # Errors
     ///
-    /// Fails if a method stands twice.
+    /// Fails if a method is registered twice.
     pub fn module(&self) -> Result<RpcModule<Self>, RegisterMethodError> {
         let mut module = RpcModule::new(self.clone());
         module.register_async_method(WATCH, |params, directory, _| async move {
@@ -83,12 +83,12 @@
         })?;
         module.register_method(REPORT, |params, directory, _| {
             let report: Report = params.one()?;
-            Ok::<ReportAnswer, ErrorObjectOwned>(directory.shared.hear(report))
+            Ok::<ReportAnswer, ErrorObjectOwned>(directory.shared.receive(report))
         })?;
         Ok(module)
     }
 
-    /// Reads the directory.
+    /// Runs `read` on the registry, which stays locked meanwhile.
     pub fn read<T, F>(&self, read: F) -> T
     where
         F: FnOnce(&Registry) -> T,
@@ -101,7 +101,7 @@
 where
     S: Source,
 {
-    /// Waits for news for a while, then answers on a confirmation.
+    /// Waits for an update or the long-poll timeout, then answers with a confirmed state.
     async fn watch(&self, request: &WatchRequest) -> Result<WatchAnswer, Failure> {
         if !request.eager {
             self.wait(request).await;
@@ -111,7 +111,7 @@
             let registry = self.registry();
             let now = self.clock.now();
             grant(machine, &registry, confirmation, request, now)
-                .map_err(|kind| Failure::new(kind, "this replica cannot vouch for its state"))
+                .map_err(|kind| Failure::new(kind, "this replica cannot confirm its state"))
         })
     }
 
@@ -120,10 +120,10 @@
         let mut states = self.source.changes();
         let mut directories = self.changed.subscribe();
         loop {
-            let fresh = self
+            let updated = self
                 .source
                 .read(|machine| has_update(machine, &self.registry(), request, self.clock.now()));
-            if fresh {
+            if updated {
                 return;
             }
             tokio::select! {
@@ -136,19 +136,19 @@
 }
 
 impl<S> Shared<S> {
-    fn hear(&self, report: Report) -> ReportAnswer {
+    fn receive(&self, report: Report) -> ReportAnswer {
         let mut registry = self.registry();
         let before = registry.version();
-        let heard = registry.receive(report, self.clock.now());
+        let answer = registry.receive(report, self.clock.now());
         let changed = registry.version() != before;
         drop(registry);
         if changed {
             self.changed.send_modify(|count| *count += 1);
         }
-        heard
+        answer
     }
 
-    fn tick(&self) {
+    fn expire(&self) {
         let changed = self.registry().expire(self.clock.now());
         if changed {
             self.changed.send_modify(|count| *count += 1);
@@ -162,6 +162,6 @@
 
 impl<S> Drop for Shared<S> {
     fn drop(&mut self) {
-        self.ticking.abort();
+        self.expiry_task.abort();
     }
 }
--- a/peers/instance/src/directory/shared.rs
+++ b/peers/instance/src/directory/shared.rs
@@ -1,4 +1,4 @@
-//! The replicated state, written by the log and read by everyone else.
+//! Replicated state that the log writes and the rest of the process reads.
 
 use std::sync::{Arc, PoisonError, RwLock, RwLockReadGuard, RwLockWriteGuard};
 
@@ -7,10 +7,10 @@
 use pimentotide_model::{Revision, Time};
 use tokio::sync::watch;
 
-/// Replicated state that clones share.
+/// Handle to the replicated state; clones share it.
 ///
-/// One clone is given to the log, which applies commands to it; the others
-/// read it and learn of each new revision.
+/// The log applies commands through one clone; the others read the state and
+/// subscribe to its revision.
 #[derive(Clone, Debug)]
 pub struct SharedMachine {
     machine: Arc<RwLock<Machine>>,
@@ -27,7 +27,7 @@
 }
 
 impl SharedMachine {
-    /// Reads the state.
+    /// Runs `read` on the state under a read lock.
     pub fn read<T, F>(&self, read: F) -> T
     where
         F: FnOnce(&Machine) -> T,
@@ -35,16 +35,16 @@
         read(&self.reader())
     }
 
-    /// Revision in force, with every change of it.
+    /// Subscribes to the revision in force.
     pub fn changes(&self) -> watch::Receiver<Revision> {
         self.revision.subscribe()
     }
 
-    /// Tells the revision to those who wait for it, if it is another one.
+    /// Notifies subscribers if the revision has changed.
     fn publish(&self, revision: Revision) {
-        self.revision.send_if_modified(|known| {
-            let changed = *known != revision;
-            *known = revision;
+        self.revision.send_if_modified(|current| {
+            let changed = *current != revision;
+            *current = revision;
             changed
         });
     }
