--- a/peers/instance/src/replica/actor.rs
+++ b/peers/instance/src/replica/actor.rs
@@ -1,4 +1,4 @@
-//! The actor that drives the state machine.
+//! Actor that drives the consensus state machine and carries out its actions.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -16,22 +16,22 @@
 use super::founding;
 use super::link::Links;
 use super::message::{
-    Applied, ChangeMembers, Delivery, Found, GetStatus, Halt, HandOver, Propose, Query, Read,
-    Refusal, Reply, Synced, WriteFailed,
+    Applied, Bootstrap, ChangeMembers, Delivery, GetStatus, Halt, Propose, Query, Read, Refusal,
+    Reply, Synced, TransferLeadership, WriteFailed,
 };
 use super::options::ReplicaOptions;
 use super::status::{DiskHealth, LeaderView, ReplicaStatus};
 use super::writer::Writer;
 use crate::Clock;
 
-/// Shortest pause between ticks of the state machine.
-const TICK: Duration = Duration::from_millis(10);
-/// Ticks in the pause between two heartbeats, at most.
+/// Shortest interval between ticks of the state machine.
+const MIN_TICK_INTERVAL: Duration = Duration::from_millis(10);
+/// Maximum number of ticks per heartbeat interval.
 const TICKS_PER_HEARTBEAT: u32 = 5;
-/// Pause between log lines about messages meant for another disk.
-const REFUSAL_PAUSE: Duration = Duration::from_secs(10);
+/// Shortest interval between log lines about messages addressed to another disk.
+const REFUSAL_LOG_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Control replica.
+/// Actor of one control replica.
 pub struct Replica<M> {
     options: ReplicaOptions,
     clock: Clock,
@@ -39,44 +39,46 @@
     applier: Applier<M>,
     writer: Writer,
     links: Links,
-    /// Messages that wait for a write.
-    held: Vec<(Ticket, Envelope)>,
+    /// Messages held back until the write that they depend on is synced.
+    unsent: Vec<(Ticket, Envelope)>,
     synced: Ticket,
-    /// Addresses that senders gave for themselves.
-    known: BTreeMap<InstanceName, SocketAddr>,
-    waiting: BTreeMap<ProposalId, Waiting>,
-    issued: u64,
-    founding: Option<Write>,
+    /// Addresses that senders reported for themselves.
+    addresses: BTreeMap<InstanceName, SocketAddr>,
+    pending: BTreeMap<ProposalId, Pending>,
+    last_proposal: u64,
+    /// Write that bootstraps a new log, until it is synced.
+    bootstrap: Option<Write>,
     disk: DiskHealth,
-    refused: Option<Time>,
+    /// Time of the last log line about a message addressed to another disk.
+    refusal_logged_at: Option<Time>,
     applied: watch::Sender<Index>,
     leader: watch::Sender<LeaderView>,
 }
 
-/// Someone who waits for a result.
-struct Waiting {
-    reply: Pending,
-    until: Time,
+/// Request that awaits its result.
+struct Pending {
+    reply: PendingReply,
+    deadline: Time,
 }
 
-enum Pending {
+enum PendingReply {
     Command(Reply<Applied>),
     Position(Reply<Index>),
-    /// The position is known; the machine has yet to reach it.
-    Reached(Reply<Index>, Index),
+    /// Read whose position is known and not yet applied to the machine.
+    Unapplied(Reply<Index>, Index),
 }
 
-impl Pending {
+impl PendingReply {
     fn refuse(self, refusal: Refusal) {
-        // Whoever asked may have gone.
+        // The requester may have dropped its receiver.
         match self {
             Self::Command(reply) => drop(reply.send(Err(refusal))),
-            Self::Position(reply) | Self::Reached(reply, _) => drop(reply.send(Err(refusal))),
+            Self::Position(reply) | Self::Unapplied(reply, _) => drop(reply.send(Err(refusal))),
         }
     }
 }
 
-/// What an actor is built from.
+/// Arguments of [`Replica::new`].
 pub(super) struct Parts<M> {
     pub(super) options: ReplicaOptions,
     pub(super) recovered: Recovered,
@@ -91,7 +93,9 @@
 where
     M: Machine + Send + Unpin + 'static,
 {
-    /// Builds the actor from an open folder.
+    /// Builds the actor from the recovered log.
+    ///
+    /// Fails with `DiskFailed` if the machine cannot restore the snapshot.
     pub(super) fn new(parts: Parts<M>) -> Result<Self, Failure> {
         let clock = Clock::start();
         let Parts { options, .. } = parts;
@@ -103,14 +107,14 @@
             node,
             applier: Applier::new(parts.machine),
             writer: parts.writer,
-            held: Vec::new(),
+            unsent: Vec::new(),
             synced: Ticket(0),
-            known: BTreeMap::new(),
-            waiting: BTreeMap::new(),
-            issued: 0,
-            founding: None,
+            addresses: BTreeMap::new(),
+            pending: BTreeMap::new(),
+            last_proposal: 0,
+            bootstrap: None,
             disk: DiskHealth::Good,
-            refused: None,
+            refusal_logged_at: None,
             applied: parts.applied,
             leader: parts.leader,
         };
@@ -126,21 +130,21 @@
         Ok(replica)
     }
 
-    /// Tells the state machine of an event and carries out what follows.
+    /// Passes an event to the state machine and carries out the resulting actions.
     fn step(&mut self, event: Event) {
         let actions = self.node.step(event, moment(self.clock));
         for action in actions {
-            self.carry_out(action);
+            self.execute(action);
         }
         self.compact();
         self.publish();
     }
 
-    fn carry_out(&mut self, action: Action) {
+    fn execute(&mut self, action: Action) {
         match action {
             Action::Write(write) => self.writer.write(write),
             Action::Send { after, envelope } if after <= self.synced => self.send(envelope),
-            Action::Send { after, envelope } => self.held.push((after, envelope)),
+            Action::Send { after, envelope } => self.unsent.push((after, envelope)),
             Action::Apply(entry) => {
                 if let Some((id, outcome)) = self.applier.apply(&entry) {
                     self.finish(id, outcome);
@@ -149,8 +153,8 @@
             Action::Restore(snapshot) => {
                 let last = snapshot.meta.last.index;
                 match self.applier.restore(last, &snapshot.data) {
-                    Ok(jumped) => {
-                        for (id, outcome) in jumped {
+                    Ok(skipped) => {
+                        for (id, outcome) in skipped {
                             self.finish(id, outcome);
                         }
                     }
@@ -163,70 +167,72 @@
                 }
             }
             Action::Rejected(id, reason) => self.reject(id, &reason),
-            Action::ReadReady(id, index) => self.reached(id, index),
-            Action::Refused { from, intended } => self.note_refusal(&from, &intended),
+            Action::ReadReady(id, index) => self.read_ready(id, index),
+            Action::Refused { from, meant } => self.log_refusal(&from, &meant),
         }
     }
 
     fn send(&mut self, envelope: Envelope) {
         let name = &envelope.to.name;
         let member = self.node.config().member(name).map(|m| m.address);
-        let known = || self.known.get(name).copied();
+        let reported = || self.addresses.get(name).copied();
         let founder = || self.options.founders.get(name).copied();
-        if let Some(address) = member.or_else(known).or_else(founder) {
+        if let Some(address) = member.or_else(reported).or_else(founder) {
             self.links.send(address, envelope);
         }
     }
 
     fn finish(&mut self, id: ProposalId, outcome: Outcome) {
-        let Some(Waiting {
-            reply: Pending::Command(reply),
+        let Some(Pending {
+            reply: PendingReply::Command(reply),
             ..
-        }) = self.waiting.remove(&id)
+        }) = self.pending.remove(&id)
         else {
             return;
         };
         let result = match outcome {
             Outcome::Applied(index, answer) => Ok((index, answer)),
-            Outcome::Replaced => Err(self.not_leader("another leader's entry took its place")),
+            Outcome::Replaced => {
+                Err(self.not_leader("an entry of another leader replaced the proposal"))
+            }
             Outcome::Unknown => Err(Refusal::from(Failure::new(
                 ErrorKind::OutcomeUnknown,
-                "a snapshot jumped over the proposal",
+                "a snapshot covers the position of the proposal",
             ))),
         };
-        // Whoever asked may have gone.
+        // The requester may have dropped its receiver.
         let _ = reply.send(result);
     }
 
-    /// Answers a read once the machine has reached its position.
-    fn reached(&mut self, id: ProposalId, index: Index) {
-        let Some(Waiting { reply, until }) = self.waiting.remove(&id) else {
+    /// Answers a read if its position is applied; otherwise keeps it pending.
+    fn read_ready(&mut self, id: ProposalId, index: Index) {
+        let Some(Pending { reply, deadline }) = self.pending.remove(&id) else {
             return;
         };
         match reply {
-            Pending::Position(reply) if index <= self.applier.applied() => {
-                // Whoever asked may have gone.
+            PendingReply::Position(reply) if index <= self.applier.applied() => {
+                // The requester may have dropped its receiver.
                 let _ = reply.send(Ok(index));
             }
-            Pending::Position(reply) => {
-                let reply = Pending::Reached(reply, index);
-                self.waiting.insert(id, Waiting { reply, until });
+            PendingReply::Position(reply) => {
+                let reply = PendingReply::Unapplied(reply, index);
+                self.pending.insert(id, Pending { reply, deadline });
             }
             other => other.refuse(Refusal::from(Failure::new(
                 ErrorKind::Internal,
-                "a command was answered as a read",
+                "a command received the answer of a read",
             ))),
         }
     }
 
     fn reject(&mut self, id: ProposalId, reason: &Reject) {
-        let Some(waiting) = self.waiting.remove(&id) else {
+        let Some(pending) = self.pending.remove(&id) else {
             return;
         };
         let kind = match reason {
             Reject::NotLeader(_) | Reject::Transferring => {
                 let refusal = self.not_leader(&reason.to_string());
-                waiting.reply.refuse(refusal);
+                pending.reply.refuse(refusal);
                 return;
             }
             Reject::NoQuorum | Reject::WouldLoseQuorum(_) => ErrorKind::NoQuorum,
@@ -236,7 +242,7 @@
             Reject::Overloaded => ErrorKind::Overloaded,
         };
         let failure = Failure::new(kind, reason.to_string()).with_ran(Ran::No);
-        waiting.reply.refuse(Refusal::from(failure));
+        pending.reply.refuse(Refusal::from(failure));
     }
 
     fn not_leader(&self, detail: &str) -> Refusal {
@@ -255,29 +261,29 @@
         }
     }
 
-    /// Notes who waits and returns the number to ask the state machine with.
-    fn wait(&mut self, reply: Pending) -> ProposalId {
-        self.issued += 1;
-        let id = ProposalId(self.issued);
-        let until = self.clock.now() + self.options.patience;
-        self.waiting.insert(id, Waiting { reply, until });
+    /// Registers a request and returns its id for the state machine.
+    fn register(&mut self, reply: PendingReply) -> ProposalId {
+        self.last_proposal += 1;
+        let id = ProposalId(self.last_proposal);
+        let deadline = self.clock.now() + self.options.patience;
+        self.pending.insert(id, Pending { reply, deadline });
         id
     }
 
-    /// Gives up on those who have waited for too long.
+    /// Fails the requests whose deadline has passed.
     fn expire(&mut self) {
         let now = self.clock.now();
         let late: Vec<ProposalId> = self
-            .waiting
+            .pending
             .iter()
-            .filter(|(_, w)| w.until <= now)
+            .filter(|(_, p)| p.deadline <= now)
             .map(|(id, _)| *id)
             .collect();
         for id in late {
-            self.applier.abandon(id);
-            if let Some(waiting) = self.waiting.remove(&id) {
+            self.applier.forget(id);
+            if let Some(pending) = self.pending.remove(&id) {
                 let failure = Failure::new(ErrorKind::NoQuorum, "no quorum answered in time");
-                waiting.reply.refuse(Refusal::from(failure));
+                pending.reply.refuse(Refusal::from(failure));
             }
         }
     }
@@ -290,54 +296,56 @@
         let state = self.applier.machine().snapshot();
         let event = Event::Compact(index, state.into());
         for action in self.node.step(event, moment(self.clock)) {
-            self.carry_out(action);
+            self.execute(action);
         }
     }
 
-    /// Tells subscribers of progress and of a new leader.
+    /// Notifies subscribers of a new applied position or leader.
     fn publish(&mut self) {
         let applied = self.applier.applied();
-        self.applied.send_if_modified(|held| {
-            let changed = *held != applied;
-            *held = applied;
+        self.applied.send_if_modified(|current| {
+            let changed = *current != applied;
+            *current = applied;
             changed
         });
-        self.answer_reached(applied);
+        self.answer_reads(applied);
         let view = self.leader_view();
-        let changed = self.leader.send_if_modified(|held| {
-            let changed = *held != view;
-            *held = view.clone();
+        let changed = self.leader.send_if_modified(|current| {
+            let changed = *current != view;
+            *current = view.clone();
             changed
         });
         if changed && let Some((name, address)) = &view.leader {
-            log::info!("{name} at {address} leads term {}", view.term);
+            log::info!("{name} at {address} is the leader of term {}", view.term);
         }
     }
 
-    fn answer_reached(&mut self, applied: Index) {
+    fn answer_reads(&mut self, applied: Index) {
         let ready: Vec<ProposalId> = self
-            .waiting
+            .pending
             .iter()
-            .filter(|(_, w)| matches!(&w.reply, Pending::Reached(_, index) if *index <= applied))
+            .filter(
+                |(_, p)| matches!(&p.reply, PendingReply::Unapplied(_, index) if *index <= applied),
+            )
             .map(|(id, _)| *id)
             .collect();
         for id in ready {
-            if let Some(Waiting {
-                reply: Pending::Reached(reply, index),
+            if let Some(Pending {
+                reply: PendingReply::Unapplied(reply, index),
                 ..
-            }) = self.waiting.remove(&id)
+            }) = self.pending.remove(&id)
             {
-                // Whoever asked may have gone.
+                // The requester may have dropped its receiver.
                 let _ = reply.send(Ok(index));
             }
         }
     }
 
     fn leader_view(&self) -> LeaderView {
-        let leader = self.node.leader().map(|who| who.name.clone());
+        let leader = self.node.leader().map(|leader| leader.name.clone());
         let with_address = leader.and_then(|name| {
             let member = self.node.config().member(&name).map(|m| m.address);
-            let address = member.or_else(|| self.known.get(&name).copied())?;
+            let address = member.or_else(|| self.addresses.get(&name).copied())?;
             Some((name, address))
         });
         LeaderView {
@@ -347,34 +355,36 @@
         }
     }
 
-    /// Takes the replica out of action.
+    /// Marks the disk as failed; the replica no longer takes part in the log.
     fn fail(&mut self, detail: &str) {
         if matches!(self.disk, DiskHealth::Failed(_)) {
             return;
         }
         log::error!(
-            "the disk of {} failed, it takes no more part: {detail}",
+            "the disk of {} failed; the replica stops taking part: {detail}",
             self.options.name
         );
         self.disk = DiskHealth::Failed(detail.to_owned());
-        self.held.clear();
+        self.unsent.clear();
         self.step(Event::DiskFailed);
-        for waiting in std::mem::take(&mut self.waiting).into_values() {
+        for pending in std::mem::take(&mut self.pending).into_values() {
             let failure = Failure::new(ErrorKind::DiskFailed, detail);
-            waiting.reply.refuse(Refusal::from(failure));
+            pending.reply.refuse(Refusal::from(failure));
         }
     }
 
-    /// Logs, from time to time, that messages are meant for a disk that is gone.
-    fn note_refusal(&mut self, from: &Identity, meant: &Identity) {
+    /// Logs a message addressed to a disk that this replica no longer has, rate-limited.
+    fn log_refusal(&mut self, from: &Identity, meant: &Identity) {
         let now = self.clock.now();
-        let recent = self.refused.is_some_and(|at| now < at + REFUSAL_PAUSE);
+        let recent = self
+            .refusal_logged_at
+            .is_some_and(|at| now < at + REFUSAL_LOG_INTERVAL);
         if !recent {
-            self.refused = Some(now);
+            self.refusal_logged_at = Some(now);
             let me = &self.node.hard().identity;
             log::warn!(
-                "refused a message of {from} meant for {meant}: the disk of this replica is {}; \
-                 remove and add {} to let it take part again",
+                "rejected a message of {from} for {meant}: the disk of this replica is {}; \
+                 remove and add {} to restore its membership",
                 me.disk,
                 me.name
             );
@@ -383,14 +393,14 @@
 
     fn tick(&mut self) {
         if self.writer.is_stalled(self.options.stall) {
-            self.fail("a write took too long");
+            self.fail("a write did not finish in time");
         }
         self.expire();
         self.step(Event::Tick);
     }
 
-    /// Starts the log that was just founded.
-    fn start_founded(&mut self, write: Write) {
+    /// Starts from the bootstrap write once it is synced.
+    fn start_bootstrapped(&mut self, write: Write) {
         let Some(hard) = write.hard else {
             return;
         };
@@ -399,7 +409,7 @@
             snapshot: None,
             entries: write.entries,
         };
-        log::info!("{} founded a log", self.options.name);
+        log::info!("{} bootstrapped a new log", self.options.name);
         let seed = rand::random();
         self.node = Node::start(recovered, self.options.log, seed, moment(self.clock)).0;
         self.publish();
@@ -422,24 +432,24 @@
     type Context = Context<Self>;
 
     fn started(&mut self, ctx: &mut Self::Context) {
-        let pause = TICK.max(self.options.log.heartbeat_interval / TICKS_PER_HEARTBEAT);
-        ctx.run_interval(pause, |replica, _| replica.tick());
+        let interval = MIN_TICK_INTERVAL.max(self.options.log.heartbeat / TICKS_PER_HEARTBEAT);
+        ctx.run_interval(interval, |replica, _| replica.tick());
         let me = self.node.hard().identity.clone();
         if self.node.hard().cluster.is_none() && !self.options.founders.is_empty() {
-            actix_rt::spawn(founding::found(self.options.clone(), me, ctx.address()));
+            actix_rt::spawn(founding::bootstrap(self.options.clone(), me, ctx.address()));
         }
     }
 }
 
 macro_rules! handlers {
-    ($($message:ty, |$replica:ident, $told:pat_param, $ctx:pat_param| $body:block)*) => {$(
+    ($($message:ty, |$replica:ident, $received:pat_param, $ctx:pat_param| $body:block)*) => {$(
         impl<M> Handler<$message> for Replica<M>
         where
             M: Machine + Send + Unpin + 'static,
         {
             type Result = ();
 
-            fn handle(&mut self, $told: $message, $ctx: &mut Self::Context) {
+            fn handle(&mut self, $received: $message, $ctx: &mut Self::Context) {
                 let $replica = self;
                 $body
             }
@@ -449,25 +459,25 @@
 
 handlers! {
     Delivery, |replica, delivery, _| {
-        if replica.founding.is_some() {
+        if replica.bootstrap.is_some() {
             return;
         }
         for envelope in delivery.envelopes {
-            replica.known.insert(envelope.from.name.clone(), delivery.address);
+            replica.addresses.insert(envelope.from.name.clone(), delivery.address);
             replica.step(Event::Receive(envelope));
         }
     }
     Synced, |replica, Synced(ticket), _| {
         replica.writer.synced(ticket);
-        if let Some(write) = replica.founding.take() {
-            replica.start_founded(write);
+        if let Some(write) = replica.bootstrap.take() {
+            replica.start_bootstrapped(write);
             return;
         }
         replica.synced = replica.synced.max(ticket);
-        let (ready, held) = std::mem::take(&mut replica.held)
+        let (ready, unsent) = std::mem::take(&mut replica.unsent)
             .into_iter()
             .partition::<Vec<_>, _>(|(after, _)| *after <= ticket);
-        replica.held = held;
+        replica.unsent = unsent;
         for (_, envelope) in ready {
             replica.send(envelope);
         }
@@ -476,49 +486,49 @@
     WriteFailed, |replica, WriteFailed(detail), _| {
         replica.fail(&detail);
     }
-    Propose, |replica, told, _| {
-        let id = replica.wait(Pending::Command(told.reply));
-        replica.step(Event::Propose(id, told.command.into()));
+    Propose, |replica, request, _| {
+        let id = replica.register(PendingReply::Command(request.reply));
+        replica.step(Event::Propose(id, request.command.into()));
     }
-    Read, |replica, told, _| {
-        let id = replica.wait(Pending::Position(told.reply));
+    Read, |replica, request, _| {
+        let id = replica.register(PendingReply::Position(request.reply));
         replica.step(Event::Read(id));
     }
-    ChangeMembers, |replica, told, _| {
-        log::info!("members change: {}", told.change);
-        let id = replica.wait(Pending::Command(told.reply));
-        replica.step(Event::Change(id, told.change));
+    ChangeMembers, |replica, request, _| {
+        log::info!("member change requested: {}", request.change);
+        let id = replica.register(PendingReply::Command(request.reply));
+        replica.step(Event::Change(id, request.change));
     }
-    GetStatus, |replica, told, _| {
-        // Whoever asked may have gone.
-        let _ = told.reply.send(replica.status());
+    GetStatus, |replica, request, _| {
+        // The requester may have dropped its receiver.
+        let _ = request.reply.send(replica.status());
     }
-    Found, |replica, told, _| {
+    Bootstrap, |replica, request, _| {
         let empty = Recovered {
             hard: replica.node.hard().clone(),
             snapshot: None,
             entries: Vec::new(),
         };
         let cluster = ClusterId(rand::random());
-        if let Some(write) = Node::bootstrap(&empty, cluster, told.config) {
-            replica.founding = Some(write.clone());
+        if let Some(write) = Node::found(&empty, cluster, request.config) {
+            replica.bootstrap = Some(write.clone());
             replica.writer.write(write);
         }
     }
-    HandOver, |replica, _, _| {
+    TransferLeadership, |replica, _, _| {
         replica.step(Event::Transfer);
     }
-    Halt, |replica, told, ctx| {
+    Halt, |replica, request, ctx| {
         let thread = replica.writer.close();
-        for waiting in std::mem::take(&mut replica.waiting).into_values() {
-            let failure = Failure::new(ErrorKind::Stopping, "the replica stops");
-            waiting.reply.refuse(Refusal::from(failure.with_ran(Ran::Unknown)));
+        for pending in std::mem::take(&mut replica.pending).into_values() {
+            let failure = Failure::new(ErrorKind::Stopping, "the replica is stopping");
+            pending.reply.refuse(Refusal::from(failure.with_ran(Ran::Unknown)));
         }
         if thread.is_some_and(|t| t.join().is_err()) {
-            log::error!("the writer of {} panicked", replica.options.name);
+            log::error!("the writer thread of {} panicked", replica.options.name);
         }
-        // Whoever stops the replica may have gone.
-        let _ = told.done.send(());
+        // The requester may have dropped its receiver.
+        let _ = request.done.send(());
         ctx.stop();
     }
 }
--- a/peers/instance/src/replica/clock.rs
+++ b/peers/instance/src/replica/clock.rs
@@ -1,4 +1,4 @@
-//! The clocks of this process.
+//! Reading of the clocks that the log uses.
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
@@ -7,7 +7,7 @@
 
 use crate::Clock;
 
-/// Reads the monotonic clock beside the time of day.
+/// Reads the monotonic clock and the wall clock together.
 pub(super) fn moment(clock: Clock) -> Moment {
     let wall = SystemTime::now()
         .duration_since(UNIX_EPOCH)
--- a/peers/instance/src/replica/founding.rs
+++ b/peers/instance/src/replica/founding.rs
@@ -1,10 +1,10 @@
-//! Founding of a new log by several replicas with empty disks.
+//! Bootstrap of a new log by several replicas with empty disks.
 //!
-//! The first of the founders by name asks all others who they are. Only if every
-//! one answers, and none belongs to a log, does it found one with itself as the
+//! The first founder by name requests the identity of all others. Only if every
+//! one answers and none belongs to a log, it bootstraps one with itself as the
 //! only voter and the others as learners, which become voters one by one. A
-//! founder that lost its disk later finds the others used and waits for being
-//! added; if one of them does not answer it waits as well.
+//! founder that lost its disk later finds that the others belong to a log and
+//! waits until it is added; it also waits while any of them does not answer.
 
 use std::time::Duration;
 
@@ -14,16 +14,16 @@
 
 use super::actor::Replica;
 use super::link::TIMEOUTS;
-use super::message::{Found, Introduction};
+use super::message::{Bootstrap, Introduction};
 use super::options::ReplicaOptions;
 use super::rpc::INTRODUCE;
 use crate::PeerClient;
 
-/// Pause between attempts.
-const PAUSE: Duration = Duration::from_millis(250);
+/// Delay between bootstrap attempts.
+const RETRY_DELAY: Duration = Duration::from_millis(250);
 
-/// Tries to found a log until it is done or one turns out to exist.
-pub(super) async fn found<M>(options: ReplicaOptions, me: Identity, replica: Addr<Replica<M>>)
+/// Tries to bootstrap a log until it succeeds or an existing one is found.
+pub(super) async fn bootstrap<M>(options: ReplicaOptions, me: Identity, replica: Addr<Replica<M>>)
 where
     M: Machine + Send + Unpin + 'static,
 {
@@ -31,29 +31,29 @@
     if first != Some(&options.name) {
         return;
     }
-    let mut last = None;
+    let mut last_detail = None;
     loop {
-        match gather(&options, &me).await {
+        match collect_members(&options, &me).await {
             Ok(config) => {
-                replica.do_send(Found { config });
+                replica.do_send(Bootstrap { config });
                 return;
             }
             Err(failure) if failure.kind == ErrorKind::RevisionConflict => {
-                log::error!("no log is founded: {failure}");
+                log::error!("cannot bootstrap a new log: {failure}");
                 return;
             }
             Err(failure) => {
-                if last.as_ref() != Some(&failure.detail) {
-                    log::info!("founding waits: {failure}");
-                    last = Some(failure.detail);
+                if last_detail.as_ref() != Some(&failure.detail) {
+                    log::info!("bootstrap waits for all founders: {failure}");
+                    last_detail = Some(failure.detail);
                 }
             }
         }
-        actix_rt::time::sleep(PAUSE).await;
+        actix_rt::time::sleep(RETRY_DELAY).await;
     }
 }
 
-async fn gather(options: &ReplicaOptions, me: &Identity) -> Result<Config, Failure> {
+async fn collect_members(options: &ReplicaOptions, me: &Identity) -> Result<Config, Failure> {
     let mut config = Config::default();
     for (name, address) in &options.founders {
         let member = |disk| Member {
@@ -65,35 +65,35 @@
             continue;
         }
         let client = PeerClient::with_timeouts(*address, options.token.clone(), TIMEOUTS);
-        let found = introduce(&client, name).await?;
-        if found.cluster.is_some() {
+        let peer = introduce(&client, name).await?;
+        if peer.cluster.is_some() {
             return Err(Failure::new(
                 ErrorKind::RevisionConflict,
-                format!("{name} belongs to a log already; add {} to it", me.name),
+                format!("{name} already belongs to a log; add {} to it", me.name),
             ));
         }
         config
             .learners
-            .insert(name.clone(), member(found.identity.disk));
+            .insert(name.clone(), member(peer.identity.disk));
     }
     Ok(config)
 }
 
-/// Asks the replica at the other end who it is.
+/// Requests the identity of the peer and checks that its name is `name`.
 pub(super) async fn introduce(
     client: &PeerClient,
     name: &InstanceName,
 ) -> Result<Introduction, Failure> {
-    let found: Introduction = client.call(INTRODUCE, [0; 0]).await?;
-    if found.identity.name == *name {
-        return Ok(found);
+    let peer: Introduction = client.call(INTRODUCE, [0; 0]).await?;
+    if peer.identity.name == *name {
+        return Ok(peer);
     }
     Err(Failure::new(
         ErrorKind::InvalidRequest,
         format!(
-            "{} is {}, not {name}",
+            "the replica at {} is {}, not {name}",
             client.address(),
-            found.identity.name
+            peer.identity.name
         ),
     ))
 }
--- a/peers/instance/src/replica/handle.rs
+++ b/peers/instance/src/replica/handle.rs
@@ -1,4 +1,4 @@
-//! The running replica as the rest of the process sees it.
+//! Handle by which the rest of the process uses a running replica.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -17,8 +17,8 @@
 use super::founding;
 use super::link::TIMEOUTS;
 use super::message::{
-    Applied, ChangeMembers, Delivery, GetStatus, Halt, HandOver, Introduction, Propose, Query,
-    Read, Refusal, Synced, WriteFailed,
+    Applied, ChangeMembers, Delivery, GetStatus, Halt, Introduction, Propose, Query, Read, Refusal,
+    Synced, TransferLeadership, WriteFailed,
 };
 use super::options::ReplicaOptions;
 use super::rpc;
@@ -26,10 +26,10 @@
 use super::writer::Writer;
 use crate::PeerClient;
 
-/// Pause between looks at a handover.
-const HANDOVER_PAUSE: Duration = Duration::from_millis(10);
+/// Polling interval during a leadership transfer.
+const TRANSFER_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// A running replica; clones lead to the same one.
+/// Handle of a running replica; clones refer to the same one.
 pub struct ReplicaHandle<M>
 where
     M: Machine + Send + Unpin + 'static,
@@ -62,9 +62,9 @@
 where
     M: Machine + Send + Unpin + 'static,
 {
-    /// Opens the data folder and starts the replica on a thread of its own.
+    /// Opens the data folder and starts the replica on its own thread.
     ///
-    /// A single founder leads as soon as its first write is synced.
+    /// A single founder becomes leader as soon as its first write is synced.
     pub async fn spawn(options: ReplicaOptions, machine: M) -> Result<ReplicaHandle<M>, Failure> {
         let (folder, name) = (options.folder.clone(), options.name.clone());
         let Opened {
@@ -76,7 +76,7 @@
             .await
             .map_err(|e| Failure::new(ErrorKind::Internal, e.to_string()))??;
         log::info!(
-            "replica {}: fresh {fresh}, cut {truncated_bytes} bytes, {} entries",
+            "opened replica {}: new folder {fresh}, {cut} bytes truncated, {} entries",
             recovered.hard.identity,
             recovered.entries.len()
         );
@@ -98,20 +98,25 @@
 where
     M: Machine + Send + Unpin + 'static,
 {
-    let (applied, applied_seen) = watch::channel(Index(0));
-    let (leader, leader_seen) = watch::channel(LeaderView::default());
-    let (started, start_seen) = oneshot::channel();
-    let settings = options.clone();
+    let (applied, applied_receiver) = watch::channel(Index(0));
+    let (leader, leader_receiver) = watch::channel(LeaderView::default());
+    let (started, start_result) = oneshot::channel();
+    let actor_options = options.clone();
     let arbiter = Arbiter::new().handle();
-    let ends = arbiter.clone();
+    let own_arbiter = arbiter.clone();
     arbiter.spawn_fn(move || {
         let (address, addresses) = std::sync::mpsc::channel::<Addr<Replica<M>>>();
         let report = reporter(addresses);
         let built = Writer::spawn(storage, report)
-            .map_err(|e| Failure::new(ErrorKind::Internal, format!("no writer thread: {e}")))
+            .map_err(|e| {
+                Failure::new(
+                    ErrorKind::Internal,
+                    format!("cannot start the writer thread: {e}"),
+                )
+            })
             .and_then(|writer| {
                 Replica::new(Parts {
-                    options: settings,
+                    options: actor_options,
                     recovered,
                     machine,
                     writer,
@@ -127,25 +132,30 @@
             running
         });
         if result.is_err() {
-            ends.stop();
+            own_arbiter.stop();
         }
-        // Whoever spawned the replica may have gone.
+        // The caller of `spawn` may have dropped the receiver.
         let _ = started.send(result);
     });
-    let replica = start_seen
-        .await
-        .map_err(|_| Failure::new(ErrorKind::Internal, "the replica's thread ended"))??;
+    let replica = start_result.await.map_err(|_| {
+        Failure::new(
+            ErrorKind::Internal,
+            "the thread of the replica ended at its start",
+        )
+    })??;
     Ok(ReplicaHandle {
         replica,
         arbiter,
         options,
         clients: Arc::default(),
-        applied: applied_seen,
-        leader: leader_seen,
+        applied: applied_receiver,
+        leader: leader_receiver,
     })
 }
 
-/// Builds what the writer reports to: the actor, once its address is known.
+/// Builds the callback by which the writer reports to the actor.
+///
+/// Its first call waits for the address of the actor.
 fn reporter<M>(
     addresses: std::sync::mpsc::Receiver<Addr<Replica<M>>>,
 ) -> impl Fn(Result<pimentotide_consensus::Ticket, StorageError>) + Send + 'static
@@ -157,7 +167,7 @@
         if replica.get().is_none()
             && let Ok(address) = addresses.recv()
         {
-            // Set once, as the cell was empty.
+            // Cannot fail: the cell is empty.
             let _ = replica.set(address);
         }
         let Some(replica) = replica.get() else {
@@ -174,9 +184,9 @@
 where
     M: Machine + Send + Unpin + 'static,
 {
-    /// Replicates a command and returns its position and the machine's answer.
+    /// Replicates a command and returns its position and the machine's response.
     ///
-    /// A replica that does not lead forwards it to the leader, one hop at most.
+    /// A replica that is not the leader forwards it, by at most one hop.
     pub async fn propose(&self, command: Vec<u8>) -> Result<(Index, Vec<u8>), Failure> {
         match self.propose_here(command.clone()).await {
             Err(Refusal {
@@ -184,14 +194,14 @@
                 ..
             }) => {
                 let client = self.client(leader);
-                let asked = rpc::propose(&client, &command, self.options.patience).await;
-                asked.map_err(unreached)
+                let forwarded = rpc::propose(&client, &command, self.options.patience).await;
+                forwarded.map_err(leader_unreachable)
             }
             result => result.map_err(|r| r.failure),
         }
     }
 
-    /// Waits until the machine has everything that was committed when this was called.
+    /// Waits until the machine has applied everything committed before the call.
     pub async fn read_index(&self) -> Result<Index, Failure> {
         match self.read_here().await {
             Err(Refusal {
@@ -199,16 +209,16 @@
                 ..
             }) => {
                 let client = self.client(leader);
-                let asked = rpc::read(&client, self.options.patience).await;
-                let index = asked.map_err(unreached)?;
-                self.reach(index).await?;
+                let forwarded = rpc::read(&client, self.options.patience).await;
+                let index = forwarded.map_err(leader_unreachable)?;
+                self.wait_applied(index).await?;
                 Ok(index)
             }
             result => result.map_err(|r| r.failure),
         }
     }
 
-    /// Runs `query` with the machine and the position that it has reached.
+    /// Runs `query` on the actor with the machine and its applied position.
     pub async fn query<F, R>(&self, query: F) -> Result<R, Failure>
     where
         F: FnOnce(&M, Index) -> R + Send + 'static,
@@ -216,52 +226,52 @@
     {
         let (reply, answer) = oneshot::channel();
         self.replica.do_send(Query(Box::new(move |machine, index| {
-            // Whoever asked may have gone.
+            // The requester may have dropped its receiver.
             let _ = reply.send(query(machine, index));
         })));
         answer.await.map_err(|_| stopped())
     }
 
-    /// Reports the replica.
+    /// Status of the replica; fails once it has stopped.
     pub async fn status(&self) -> Result<ReplicaStatus, Failure> {
         let (reply, answer) = oneshot::channel();
         self.replica.do_send(GetStatus { reply });
         answer.await.map_err(|_| stopped())
     }
 
-    /// Adds the replica `name` at `address` as a learner; it votes once it has caught up.
+    /// Adds the replica `name` at `address` as a learner; it becomes a voter once caught up.
     pub async fn add(&self, name: InstanceName, address: SocketAddr) -> Result<(), Failure> {
         let client = self.client(address);
-        let found = founding::introduce(&client, &name).await?;
-        let mine = self.introduction().await?;
-        if found.cluster.is_some() && found.cluster != mine.cluster {
+        let peer = founding::introduce(&client, &name).await?;
+        let own = self.introduction().await?;
+        if peer.cluster.is_some() && peer.cluster != own.cluster {
             return Err(Failure::new(
                 ErrorKind::RevisionConflict,
                 format!("{name} belongs to another log"),
             ));
         }
-        let disk = found.identity.disk;
+        let disk = peer.identity.disk;
         self.change(Change::Add(name, Member { disk, address }))
             .await
     }
 
-    /// Removes the replica `name`.
+    /// Removes the replica `name` from the members.
     pub async fn remove(&self, name: InstanceName) -> Result<(), Failure> {
         self.change(Change::Remove(name)).await
     }
 
-    /// Position that the machine has reached, to be woken by.
+    /// Subscribes to the position applied to the machine.
     pub fn applied(&self) -> watch::Receiver<Index> {
         self.applied.clone()
     }
 
-    /// Replicates a command as [`propose`](Self::propose), waiting for a leader at most for `limit`.
+    /// Replicates a command like [`propose`](Self::propose), waiting up to `limit` for a leader.
     ///
-    /// For a caller that would otherwise be sent away while an election is under way.
+    /// Spares callers the rejection of commands during an election.
     ///
     /// # Errors
     ///
-    /// Fails like [`propose`](Self::propose), with `not_leader` if none is known in time.
+    /// Fails like [`propose`](Self::propose), with `not_leader` if no leader is elected in time.
     pub async fn propose_when_led(
         &self,
         command: Vec<u8>,
@@ -270,8 +280,8 @@
         let mut leader = self.leader.clone();
         match self.propose(command.clone()).await {
             Err(failure) if failure.kind == ErrorKind::NotLeader => {
-                let led = leader.wait_for(|view| view.leader.is_some());
-                match tokio::time::timeout(limit, led).await {
+                let elected = leader.wait_for(|view| view.leader.is_some());
+                match tokio::time::timeout(limit, elected).await {
                     Ok(Ok(_)) => {}
                     Ok(Err(_)) | Err(_) => return Err(failure),
                 }
@@ -281,31 +291,31 @@
         self.propose(command).await
     }
 
-    /// Who leads, to be woken by.
+    /// Subscribes to the leader as seen by this replica.
     pub fn leader(&self) -> watch::Receiver<LeaderView> {
         self.leader.clone()
     }
 
-    /// Hands over leadership, writes what is queued and ends the replica.
+    /// Transfers leadership, finishes the queued writes and stops the replica.
     pub async fn stop(self) {
-        let patience = self.options.log.election_timeout * 2;
-        self.replica.do_send(HandOver);
-        // Without a successor the replica stops as leader.
-        let _ = tokio::time::timeout(patience, self.handed_over()).await;
+        let limit = self.options.log.election * 2;
+        self.replica.do_send(TransferLeadership);
+        // Stops as leader if no other replica takes over in time.
+        let _ = tokio::time::timeout(limit, self.leadership_transferred()).await;
         let (done, ended) = oneshot::channel();
         self.replica.do_send(Halt { done });
-        // An error only says that the actor has ended already.
+        // Fails only if the actor has stopped already.
         let _ = ended.await;
         self.arbiter.stop();
     }
 
-    async fn handed_over(&self) {
+    async fn leadership_transferred(&self) {
         while let Ok(status) = self.status().await {
-            let alone = status.log.config.voters.len() < 2;
-            if alone || status.log.role != pimentotide_consensus::RoleKind::Leader {
+            let only_voter = status.log.config.voters.len() < 2;
+            if only_voter || status.log.role != pimentotide_consensus::RoleKind::Leader {
                 return;
             }
-            tokio::time::sleep(HANDOVER_PAUSE).await;
+            tokio::time::sleep(TRANSFER_POLL_INTERVAL).await;
         }
     }
 
@@ -316,8 +326,8 @@
                 ..
             }) => {
                 let client = self.client(leader);
-                let asked = rpc::change(&client, &change, self.options.patience).await;
-                asked.map_err(unreached)
+                let forwarded = rpc::change(&client, &change, self.options.patience).await;
+                forwarded.map_err(leader_unreachable)
             }
             result => result.map(|_| ()).map_err(|r| r.failure),
         }
@@ -326,7 +336,9 @@
     pub(super) async fn propose_here(&self, command: Vec<u8>) -> Result<Applied, Refusal> {
         let (reply, answer) = oneshot::channel();
         self.replica.do_send(Propose { command, reply });
-        answer.await.map_err(|_| Refusal::from(lost()))?
+        answer
+            .await
+            .map_err(|_| Refusal::from(stopped_in_flight()))?
     }
 
     pub(super) async fn read_here(&self) -> Result<Index, Refusal> {
@@ -338,7 +350,9 @@
     pub(super) async fn change_here(&self, change: Change) -> Result<Applied, Refusal> {
         let (reply, answer) = oneshot::channel();
         self.replica.do_send(ChangeMembers { change, reply });
-        answer.await.map_err(|_| Refusal::from(lost()))?
+        answer
+            .await
+            .map_err(|_| Refusal::from(stopped_in_flight()))?
     }
 
     pub(super) async fn introduction(&self) -> Result<Introduction, Failure> {
@@ -353,21 +367,21 @@
         self.replica.do_send(delivery);
     }
 
-    /// Waits until the machine has reached `index`.
-    async fn reach(&self, index: Index) -> Result<(), Failure> {
+    /// Waits until `index` is applied to the machine.
+    async fn wait_applied(&self, index: Index) -> Result<(), Failure> {
         let mut applied = self.applied.clone();
-        let reached = applied.wait_for(|held| *held >= index);
+        let reached = applied.wait_for(|current| *current >= index);
         match tokio::time::timeout(self.options.patience, reached).await {
             Ok(Ok(_)) => Ok(()),
             Ok(Err(_)) => Err(stopped()),
             Err(_) => Err(Failure::new(
                 ErrorKind::NotCurrent,
-                format!("this replica has not reached {index} in time"),
+                format!("this replica did not apply position {index} in time"),
             )),
         }
     }
 
-    /// Client of another replica; calls to it share one connection.
+    /// Client of another replica; all calls to it share one connection.
     fn client(&self, address: SocketAddr) -> PeerClient {
         let token = &self.options.token;
         self.clients
@@ -379,8 +393,8 @@
     }
 }
 
-/// A leader that cannot be reached leads no more, as far as whoever asks is concerned.
-fn unreached(failure: Failure) -> Failure {
+/// Reports an unreachable leader as `not_leader`, so that the caller retries elsewhere.
+fn leader_unreachable(failure: Failure) -> Failure {
     if failure.kind == ErrorKind::NotCurrent && failure.ran == Ran::No {
         return Failure::new(ErrorKind::NotLeader, failure.detail);
     }
@@ -391,7 +405,7 @@
     Failure::new(ErrorKind::Stopping, "the replica has stopped")
 }
 
-/// The replica stopped while a command was under way.
-fn lost() -> Failure {
+/// The replica stopped while a command was in flight; it may have been committed.
+fn stopped_in_flight() -> Failure {
     stopped().with_ran(Ran::Unknown)
 }
--- a/peers/instance/src/replica/link.rs
+++ b/peers/instance/src/replica/link.rs
@@ -15,16 +15,16 @@
 use super::message::Delivery;
 use crate::{PeerClient, PeerTimeouts, Token};
 
-/// Name of the method that takes messages.
+/// Method that accepts messages of another replica.
 pub(super) const DELIVER: &str = "replica_deliver";
-/// Most messages that wait for one peer; more are dropped, and repeated by the log.
-const QUEUE: usize = 1_024;
-/// Most messages in one call.
-const BATCH: usize = 64;
-/// Most calls under way to one peer.
-const CALLS: usize = 8;
+/// Maximum number of messages queued for one peer; more are dropped, and sent again by the log.
+const MAX_QUEUED_MESSAGES: usize = 1_024;
+/// Maximum number of messages in one call.
+const MAX_BATCH_MESSAGES: usize = 64;
+/// Maximum number of calls in flight to one peer.
+const MAX_CONCURRENT_CALLS: usize = 8;
 
-/// How long a link waits.
+/// Timeouts of connections between replicas.
 pub(super) const TIMEOUTS: PeerTimeouts = PeerTimeouts {
     connect: Duration::from_millis(300),
     call: Duration::from_secs(1),
@@ -32,7 +32,7 @@
     silence: Duration::from_millis(1_500),
 };
 
-/// Queues to the other replicas by address.
+/// Send queues to the other replicas, by address.
 #[derive(Debug)]
 pub(super) struct Links {
     own: SocketAddr,
@@ -53,21 +53,21 @@
     pub(super) fn send(&mut self, address: SocketAddr, envelope: Envelope) {
         let (own, token) = (self.own, &self.token);
         let queue = self.queues.entry(address).or_insert_with(|| {
-            let (queue, waiting) = channel(QUEUE);
+            let (queue, queued) = channel(MAX_QUEUED_MESSAGES);
             let client = PeerClient::with_timeouts(address, token.clone(), TIMEOUTS);
-            actix_rt::spawn(run(own, client, waiting));
+            actix_rt::spawn(run(own, client, queued));
             queue
         });
-        // The log repeats what is lost.
+        // The log sends lost messages again.
         let _ = queue.try_send(envelope);
     }
 }
 
-/// Sends what has gathered, with a few calls under way at a time.
-async fn run(own: SocketAddr, client: PeerClient, mut waiting: Receiver<Envelope>) {
-    let calls = Arc::new(Semaphore::new(CALLS));
+/// Sends queued messages in batches, with a bounded number of calls in flight.
+async fn run(own: SocketAddr, client: PeerClient, mut queued: Receiver<Envelope>) {
+    let calls = Arc::new(Semaphore::new(MAX_CONCURRENT_CALLS));
     let mut envelopes = Vec::new();
-    while waiting.recv_many(&mut envelopes, BATCH).await > 0 {
+    while queued.recv_many(&mut envelopes, MAX_BATCH_MESSAGES).await > 0 {
         let Ok(permit) = calls.clone().acquire_owned().await else {
             return;
         };
@@ -78,7 +78,7 @@
         let client = client.clone();
         actix_rt::spawn(async move {
             if let Err(failure) = deliver(&client, &delivery).await {
-                log::debug!("messages to {} are lost: {failure}", client.address());
+                log::debug!("sending messages to {} failed: {failure}", client.address());
             }
             drop(permit);
         });
@@ -90,14 +90,14 @@
     client.call(DELIVER, [text]).await
 }
 
-/// Encodes messages as text.
+/// Encodes messages as Base64.
 pub(super) fn encode(delivery: &Delivery) -> Result<String, Failure> {
     let bytes = postcard::to_stdvec(delivery)
         .map_err(|e| Failure::new(ErrorKind::Internal, format!("cannot encode messages: {e}")))?;
     Ok(STANDARD.encode(bytes))
 }
 
-/// Decodes messages from text.
+/// Decodes messages from Base64.
 pub(super) fn decode(text: &str) -> Result<Delivery, Failure> {
     let malformed = |e: String| Failure::new(ErrorKind::InvalidRequest, e);
     let bytes = STANDARD
--- a/peers/instance/src/replica/message.rs
+++ b/peers/instance/src/replica/message.rs
@@ -1,4 +1,4 @@
-//! What the actor is told.
+//! Messages to the actor.
 
 use std::net::SocketAddr;
 
@@ -10,17 +10,17 @@
 
 use super::ReplicaStatus;
 
-/// Messages of one replica to another, as they travel.
+/// Batch of messages from one replica to another, as sent over the wire.
 #[derive(Clone, Debug, Message, Serialize, Deserialize)]
 #[rtype(result = "()")]
 pub(super) struct Delivery {
-    /// Where the sender is reached.
+    /// Address at which the sender accepts messages.
     pub(super) address: SocketAddr,
     /// Messages in the order of sending.
     pub(super) envelopes: Vec<Envelope>,
 }
 
-/// A refusal, with the leader to ask instead.
+/// Rejection of a request, with the address of the leader if known.
 #[derive(Clone, Debug)]
 pub(super) struct Refusal {
     pub(super) failure: Failure,
@@ -36,10 +36,10 @@
     }
 }
 
-/// Position and answer of an applied command.
+/// Position of an applied command and the machine's response.
 pub(super) type Applied = (Index, Vec<u8>);
 
-/// Where a result goes.
+/// Channel for the result of a request.
 pub(super) type Reply<T> = oneshot::Sender<Result<T, Refusal>>;
 
 /// Proposes a command.
@@ -50,7 +50,7 @@
     pub(super) reply: Reply<Applied>,
 }
 
-/// Asks for the position that a read has to see.
+/// Requests the position that must be applied before a read.
 #[derive(Debug, Message)]
 #[rtype(result = "()")]
 pub(super) struct Read {
@@ -65,53 +65,53 @@
     pub(super) reply: Reply<Applied>,
 }
 
-/// Asks for the status.
+/// Requests the status.
 #[derive(Debug, Message)]
 #[rtype(result = "()")]
 pub(super) struct GetStatus {
     pub(super) reply: oneshot::Sender<ReplicaStatus>,
 }
 
-/// Who a replica is, and the log that it belongs to.
+/// Identity of a replica and the log that it belongs to.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct Introduction {
     pub(super) identity: Identity,
     pub(super) cluster: Option<ClusterId>,
 }
 
-/// Founds a new log with these members.
+/// Bootstraps a new log with these members.
 #[derive(Debug, Message)]
 #[rtype(result = "()")]
-pub(super) struct Found {
+pub(super) struct Bootstrap {
     pub(super) config: Config,
 }
 
-/// Looks at the machine and the position that it has reached.
-pub(super) type Look<M> = Box<dyn FnOnce(&M, Index) + Send>;
+/// Closure that reads the machine and its applied position.
+pub(super) type QueryFn<M> = Box<dyn FnOnce(&M, Index) + Send>;
 
-/// Runs a closure with the machine.
+/// Runs a closure on the machine.
 #[derive(Message)]
 #[rtype(result = "()")]
-pub(super) struct Query<M>(pub(super) Look<M>);
+pub(super) struct Query<M>(pub(super) QueryFn<M>);
 
-/// Hands over leadership.
+/// Transfers leadership to another voter.
 #[derive(Debug, Message)]
 #[rtype(result = "()")]
-pub(super) struct HandOver;
+pub(super) struct TransferLeadership;
 
-/// Ends the actor; what was issued before is written first.
+/// Stops the actor after the queued writes.
 #[derive(Debug, Message)]
 #[rtype(result = "()")]
 pub(super) struct Halt {
     pub(super) done: oneshot::Sender<()>,
 }
 
-/// The writer synced all writes up to this ticket.
+/// Reports that all writes up to this ticket are synced.
 #[derive(Debug, Message)]
 #[rtype(result = "()")]
 pub(super) struct Synced(pub(super) Ticket);
 
-/// The writer failed.
+/// Reports that the writer failed, with the error.
 #[derive(Debug, Message)]
 #[rtype(result = "()")]
 pub(super) struct WriteFailed(pub(super) String);
--- a/peers/instance/src/replica/mod.rs
+++ b/peers/instance/src/replica/mod.rs
@@ -1,11 +1,10 @@
-//! A control replica: the replicated log with its disk, its clock and its peers.
+//! Control replica: the replicated log with its disk, clock and peer connections.
 //!
-//! [`Replica`] is an actor on a thread of its own. It tells the pure state
-//! machine what happens and carries out its actions: writes go to one writer
-//! thread, which syncs whatever has gathered as one group; messages leave once
-//! the write they depend on is synced; committed commands go to the machine.
-//! [`ReplicaHandle`] is how the rest of the process and, through [`module`],
-//! the other processes use it.
+//! [`Replica`] is an actor on its own thread. It passes events to the pure
+//! consensus state machine and carries out the resulting actions: one writer
+//! thread syncs queued writes in groups, messages are sent only after the write
+//! that they depend on is synced, and committed commands are applied to the
+//! machine. The process uses it through [`ReplicaHandle`], others through [`module`].
 
 mod actor;
 mod clock;
--- a/peers/instance/src/replica/options.rs
+++ b/peers/instance/src/replica/options.rs
@@ -1,4 +1,4 @@
-//! Settings of a replica.
+//! Options of a replica.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -10,31 +10,31 @@
 
 use crate::Token;
 
-/// Settings of a replica.
+/// Addresses, timeouts and limits of a replica.
 #[derive(Clone, Debug)]
 pub struct ReplicaOptions {
-    /// Name of the instance.
+    /// Name of the instance, unique among the replicas.
     pub name: InstanceName,
     /// Address at which the other replicas reach this one.
     pub address: SocketAddr,
-    /// Data folder.
+    /// Data folder, which no other process may use.
     pub folder: PathBuf,
-    /// Secret of the deployment.
+    /// Token of the deployment.
     pub token: Token,
-    /// Replicas that found a new log together, this one included; none to wait for being added.
+    /// Replicas that bootstrap a new log, including this one; empty to wait until it is added.
     pub founders: BTreeMap<InstanceName, SocketAddr>,
-    /// Times and bounds of the log.
+    /// Timeouts and limits of the log.
     pub log: Options,
-    /// Entries after which the log is compacted.
+    /// Number of compactable entries at which the log is compacted.
     pub compact: u64,
-    /// Longest wait for a proposal, a read or a change.
+    /// Limit for a proposal, a read or a member change.
     pub patience: Duration,
-    /// Longest wait for the disk before it counts as failed.
+    /// Age of the oldest unsynced write from which the disk counts as failed.
     pub stall: Duration,
 }
 
 impl ReplicaOptions {
-    /// Settings with the usual times and bounds, for a replica that waits for being added.
+    /// Default options, for a replica that waits until it is added.
     pub fn new<P>(name: InstanceName, address: SocketAddr, folder: P, token: Token) -> Self
     where
         P: Into<PathBuf>,
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Names the replicas that found a new log together.
+    /// Sets the replicas that bootstrap a new log, including this one.
     #[must_use]
     pub fn with_founders<I>(mut self, founders: I) -> Self
     where
--- a/peers/instance/src/replica/rpc.rs
+++ b/peers/instance/src/replica/rpc.rs
@@ -1,4 +1,4 @@
-//! Methods by which replicas and other processes reach a replica.
+//! JSON-RPC methods of a replica and the calls to them.
 
 use std::time::Duration;
 
@@ -14,14 +14,14 @@
 use super::link::{self, DELIVER};
 use crate::{PeerClient, rpc_error};
 
-/// Name of the method that tells who a replica is.
+/// Method that returns the identity of a replica.
 pub(super) const INTRODUCE: &str = "replica_introduce";
 const PROPOSE: &str = "replica_propose";
 const READ: &str = "replica_read";
 const CHANGE: &str = "replica_change";
 const STATUS: &str = "replica_status";
 
-/// Methods of a replica, to be served with those of other modules.
+/// Builds the methods of a replica, for [`PeerServer`](crate::PeerServer).
 pub fn module<M>(
     replica: ReplicaHandle<M>,
 ) -> Result<RpcModule<ReplicaHandle<M>>, RegisterMethodError>
@@ -42,8 +42,9 @@
     })?;
     module.register_async_method(PROPOSE, |params, replica, _| async move {
         let command = decode(&params.one::<String>()?).map_err(|f| rpc_error(&f))?;
-        let done = replica.propose_here(command).await;
-        done.map(|(index, answer)| (index, STANDARD.encode(answer)))
+        let result = replica.propose_here(command).await;
+        result
+            .map(|(index, answer)| (index, STANDARD.encode(answer)))
             .map_err(|r| rpc_error(&r.failure))
     })?;
     module.register_async_method(READ, |_, replica, _| async move {
@@ -51,13 +52,13 @@
     })?;
     module.register_async_method(CHANGE, |params, replica, _| async move {
         let change: Change = params.one()?;
-        let done = replica.change_here(change).await;
-        done.map(|_| ()).map_err(|r| rpc_error(&r.failure))
+        let result = replica.change_here(change).await;
+        result.map(|_| ()).map_err(|r| rpc_error(&r.failure))
     })?;
     Ok(module)
 }
 
-/// Proposes a command at the replica at the other end, which must lead.
+/// Proposes a command to the peer, which must be the leader.
 pub(super) async fn propose(
     client: &PeerClient,
     command: &[u8],
@@ -68,12 +69,12 @@
     Ok((index, decode(&answer)?))
 }
 
-/// Asks the replica at the other end, which must lead, for the position of a read.
+/// Requests the position of a read from the peer, which must be the leader.
 pub(super) async fn read(client: &PeerClient, limit: Duration) -> Result<Index, Failure> {
     client.call_within(limit, READ, [0; 0]).await
 }
 
-/// Changes the members at the replica at the other end, which must lead.
+/// Requests a member change from the peer, which must be the leader.
 pub(super) async fn change(
     client: &PeerClient,
     change: &Change,
@@ -85,5 +86,5 @@
 fn decode(text: &str) -> Result<Vec<u8>, Failure> {
     STANDARD
         .decode(text)
-        .map_err(|e| Failure::new(ErrorKind::InvalidRequest, format!("malformed bytes: {e}")))
+        .map_err(|e| Failure::new(ErrorKind::InvalidRequest, format!("invalid Base64: {e}")))
 }
--- a/peers/instance/src/replica/status.rs
+++ b/peers/instance/src/replica/status.rs
@@ -1,4 +1,4 @@
-//! What a replica tells about itself.
+//! Status reports of a replica.
 
 use std::net::SocketAddr;
 
@@ -6,36 +6,37 @@
 use pimentotide_model::{InstanceName, Term};
 use serde::{Deserialize, Serialize};
 
-/// State of a replica's disk.
+/// Health of a replica's disk.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum DiskHealth {
-    /// Writes are synced.
+    /// No write has failed.
     Good,
-    /// A write failed or took too long; the replica is out of action.
+    /// A write failed or timed out, or a snapshot could not be restored; the
+    /// replica no longer takes part in the log.
     Failed(String),
 }
 
-/// What a replica tells about itself.
+/// Status of a replica, as `replica_status` returns it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplicaStatus {
-    /// Its part in the log.
+    /// Status of its log.
     pub log: Status,
-    /// Address at which the other replicas reach it.
+    /// Address at which it accepts messages of other replicas.
     pub address: SocketAddr,
     /// Last position applied to the machine.
     pub applied: Index,
-    /// State of its disk.
+    /// Health of its disk.
     pub disk: DiskHealth,
 }
 
-/// Who leads, as far as a replica knows.
+/// Leader as seen by one replica.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaderView {
-    /// Term.
+    /// Current term of the replica.
     pub term: Term,
-    /// Leader and its address.
+    /// Name and address of the leader; `None` while either is unknown.
     pub leader: Option<(InstanceName, SocketAddr)>,
-    /// Whether it is this replica.
+    /// Whether this replica is the leader.
     pub here: bool,
 }
--- a/peers/instance/src/replica/writer.rs
+++ b/peers/instance/src/replica/writer.rs
@@ -1,4 +1,4 @@
-//! The thread that writes and syncs, so that no sync holds up the actor.
+//! Writer thread, which keeps syncs from blocking the actor.
 
 use std::collections::VecDeque;
 use std::sync::mpsc::{Receiver, Sender, channel};
@@ -8,19 +8,20 @@
 use pimentotide_consensus::{Ticket, Write};
 use pimentotide_storage::{Folder, Storage, StorageError};
 
-/// Most writes in one group.
-const GROUP: usize = 1_024;
+/// Maximum number of writes in one synced group.
+const MAX_GROUP_WRITES: usize = 1_024;
 
-/// The writer thread of one replica.
+/// Writer thread of one replica.
 #[derive(Debug)]
 pub(super) struct Writer {
     queue: Option<Sender<Write>>,
     thread: Option<JoinHandle<()>>,
-    waiting: VecDeque<(Ticket, Instant)>,
+    /// Writes that are not synced yet, with the time of queueing, oldest first.
+    unsynced: VecDeque<(Ticket, Instant)>,
 }
 
 impl Writer {
-    /// Starts the thread; `report` hears of each synced group and of the error that ends it.
+    /// Starts the thread; it calls `report` after each synced group and with a final error.
     pub(super) fn spawn<F>(storage: Storage<Folder>, report: F) -> std::io::Result<Self>
     where
         F: Fn(Result<Ticket, StorageError>) + Send + 'static,
@@ -32,34 +33,34 @@
         Ok(Self {
             queue: Some(queue),
             thread: Some(thread),
-            waiting: VecDeque::new(),
+            unsynced: VecDeque::new(),
         })
     }
 
     /// Queues a write.
     pub(super) fn write(&mut self, write: Write) {
-        self.waiting.push_back((write.ticket, Instant::now()));
+        self.unsynced.push_back((write.ticket, Instant::now()));
         if let Some(queue) = &self.queue {
-            // A thread that has ended has reported its error.
+            // Fails only if the thread has ended, which reported its error.
             let _ = queue.send(write);
         }
     }
 
-    /// Notes that all writes up to `ticket` are synced.
+    /// Removes the writes up to `ticket`, which are synced.
     pub(super) fn synced(&mut self, ticket: Ticket) {
-        while self.waiting.front().is_some_and(|(t, _)| *t <= ticket) {
-            self.waiting.pop_front();
+        while self.unsynced.front().is_some_and(|(t, _)| *t <= ticket) {
+            self.unsynced.pop_front();
         }
     }
 
-    /// Whether the oldest write has waited for longer than `limit`.
+    /// Whether the oldest unsynced write was queued more than `limit` ago.
     pub(super) fn is_stalled(&self, limit: Duration) -> bool {
-        self.waiting
+        self.unsynced
             .front()
             .is_some_and(|(_, since)| since.elapsed() > limit)
     }
 
-    /// Ends the thread after the queued writes; returns it to be joined.
+    /// Closes the queue; the thread ends after the queued writes. Returns it for joining.
     pub(super) fn close(&mut self) -> Option<JoinHandle<()>> {
         self.queue = None;
         self.thread.take()
@@ -72,10 +73,10 @@
 {
     while let Ok(first) = writes.recv() {
         let mut group = vec![first];
-        group.extend(writes.try_iter().take(GROUP - 1));
-        let done = storage.write(&group);
-        let failed = done.is_err();
-        report(done);
+        group.extend(writes.try_iter().take(MAX_GROUP_WRITES - 1));
+        let result = storage.write(&group);
+        let failed = result.is_err();
+        report(result);
         if failed {
             return;
         }
