--- a/peers/instance/src/work/client.rs
+++ b/peers/instance/src/work/client.rs
@@ -1,4 +1,4 @@
-//! Client by which an entry passes work to agents.
+//! HTTP client by which an entry sends work to agents.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -24,49 +24,49 @@
 };
 use crate::Token;
 
-/// Time allowed for connecting to an agent.
+/// Limit for connecting to an agent.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Connections kept to all agents at most.
+/// Maximum number of pooled connections to all agents.
 const MAX_CONNECTIONS: usize = 8192;
 
-/// Time allowed for an agent to take note of a cancellation.
+/// Limit for an agent to answer a cancellation.
 const CANCEL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Time allowed for an agent to answer a demand or a request for news.
-const ASK_TIMEOUT: Duration = Duration::from_secs(2);
+/// Limit for an agent to answer a demand, an update request or an inquiry.
+const QUERY_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Why work did not get an answer.
+/// Reason why an order has no answer.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 pub enum WorkError {
-    /// No connection: the agent has seen nothing of the request.
+    /// No connection; the agent received nothing of the request.
     #[display("no connection to the agent: {_0}")]
     Unreachable(String),
-    /// The agent refused the request before reading it.
-    #[display("the agent answered with status {_0}")]
+    /// The agent rejected the request; carries the HTTP status.
+    #[display("the agent returned status {_0}")]
     Rejected(u16),
-    /// The connection failed once the agent may have seen the request.
-    #[display("the agent broke off: {_0}")]
+    /// The connection failed after the agent may have received the request.
+    #[display("the connection to the agent broke: {_0}")]
     Broken(String),
 }
 
 impl std::error::Error for WorkError {}
 
-/// Lowest status with which an agent may have failed after it took a request in.
-const FIRST_FAULT: u16 = 500;
+/// Lowest status with which an agent may have failed after it accepted a request.
+const MIN_SERVER_ERROR: u16 = 500;
 
 impl WorkError {
-    /// Whether the agent has certainly not passed the request on.
+    /// Whether the agent has certainly not forwarded the request to its upstream.
     pub fn is_unseen(&self) -> bool {
         match self {
             Self::Unreachable(_) => true,
-            Self::Rejected(status) => *status < FIRST_FAULT,
+            Self::Rejected(status) => *status < MIN_SERVER_ERROR,
             Self::Broken(_) => false,
         }
     }
 }
 
-/// Client of all agents, for use on one thread.
+/// Client of all agents, confined to one thread.
 #[derive(Clone)]
 pub struct WorkClient {
     client: Client,
@@ -74,7 +74,7 @@
 }
 
 impl WorkClient {
-    /// Opens a client that connects when it is first needed.
+    /// Creates a client that connects on first use.
     pub fn open(token: Token) -> Self {
         let connector = whole_connector(CONNECT_TIMEOUT).limit(MAX_CONNECTIONS);
         let client = Client::builder()
@@ -86,11 +86,12 @@
         Self { client, token }
     }
 
-    /// Sends an order; its frames follow as the upstream produces them.
+    /// Sends an order and returns its frames as the upstream produces them.
     ///
     /// # Errors
     ///
-    /// Says whether the agent may have seen the request.
+    /// Fails if the agent is unreachable, rejects the order or closes the
+    /// connection; the error states whether the agent may have received it.
     pub async fn send(
         &self,
         agent: SocketAddr,
@@ -113,11 +114,11 @@
         Ok(FrameStream::new(chunks.boxed_local(), order.resume))
     }
 
-    /// Tells an agent that nobody waits for the answer any more.
+    /// Cancels a request whose answer is no longer needed.
     ///
     /// # Errors
     ///
-    /// Fails if the agent does not take note in time.
+    /// Fails if the agent does not answer in time.
     pub async fn cancel(&self, agent: SocketAddr, id: RequestId) -> Result<(), WorkError> {
         let sent = self
             .client
@@ -131,7 +132,7 @@
 }
 
 impl WorkClient {
-    /// States what waits here; answered when credits are granted or after a while.
+    /// Reports the demand of this entry; answered when credits are granted or after a timeout.
     ///
     /// # Errors
     ///
@@ -141,28 +142,28 @@
         agent: SocketAddr,
         order: &DemandOrder,
     ) -> Result<DemandAnswer, WorkError> {
-        self.ask(agent, DEMAND_PATH, order).await
+        self.query(agent, DEMAND_PATH, order).await
     }
 
-    /// Asks what the agent knows of its upstream.
+    /// Requests the load and the cache events of the agent's upstream.
     ///
     /// # Errors
     ///
     /// Fails if the agent does not answer in time.
     pub async fn news(&self, agent: SocketAddr, order: &NewsOrder) -> Result<News, WorkError> {
-        self.ask(agent, NEWS_PATH, order).await
+        self.query(agent, NEWS_PATH, order).await
     }
 
-    /// Asks what became of a claim; one that never arrived is barred for good.
+    /// Requests the outcome of a claim; a claim that never arrived is barred permanently.
     ///
     /// # Errors
     ///
     /// Fails if the agent does not answer in time.
     pub async fn inquire(&self, agent: SocketAddr, held: &HeldClaim) -> Result<Finding, WorkError> {
-        self.ask(agent, INQUIRY_PATH, held).await
+        self.query(agent, INQUIRY_PATH, held).await
     }
 
-    async fn ask<Q, A>(&self, agent: SocketAddr, path: &str, order: &Q) -> Result<A, WorkError>
+    async fn query<Q, A>(&self, agent: SocketAddr, path: &str, order: &Q) -> Result<A, WorkError>
     where
         Q: Serialize,
         A: DeserializeOwned,
@@ -173,7 +174,7 @@
             .client
             .post(format!("http://{agent}{path}"))
             .insert_header((AUTHORIZATION, self.token.header()))
-            .timeout(ASK_TIMEOUT)
+            .timeout(QUERY_TIMEOUT)
             .send_body(body)
             .await
             .map_err(|e| send_error(&e))?;
@@ -186,12 +187,12 @@
     }
 }
 
-/// Frames of one answer as they arrive.
+/// Stream of the frames of one answer, checked for missing pieces.
 pub struct FrameStream {
     chunks: Pin<Box<dyn Stream<Item = Result<Bytes, String>>>>,
     decoder: FrameDecoder,
     ready: VecDeque<Frame>,
-    /// Position of the piece that comes next.
+    /// Position of the next piece.
     next: u64,
 }
 
@@ -209,13 +210,13 @@
     ///
     /// # Errors
     ///
-    /// Fails if the connection breaks or closes before the answer is closed, and
-    /// if a piece is missing or out of place.
+    /// Fails if the connection closes before the end frame, if a frame is
+    /// malformed, and if a piece is missing or out of order.
     pub async fn next_frame(&mut self) -> Result<Frame, WorkError> {
         let broken = |detail: String| WorkError::Broken(detail);
         loop {
             if let Some(frame) = self.ready.pop_front() {
-                return self.in_place(frame);
+                return self.check_position(frame);
             }
             let Some(chunk) = self.chunks.next().await else {
                 return Err(broken(
@@ -235,8 +236,8 @@
 }
 
 impl FrameStream {
-    /// Checks that a piece follows the one before it and that the end counts them all.
-    fn in_place(&mut self, frame: Frame) -> Result<Frame, WorkError> {
+    /// Checks that pieces are consecutive and that the end frame carries their count.
+    fn check_position(&mut self, frame: Frame) -> Result<Frame, WorkError> {
         let found = match frame {
             Frame::Piece { position, .. } => position,
             Frame::End { pieces, .. } => pieces,
@@ -255,7 +256,7 @@
 
 fn send_error(error: &SendRequestError) -> WorkError {
     match error {
-        // Also reported when the connection closes after the request was sent.
+        // Also reported if the connection closes after the request was sent.
         SendRequestError::Connect(ConnectError::Disconnected) => {
             WorkError::Broken("the connection closed without an answer".to_owned())
         }
--- a/peers/instance/src/work/demand.rs
+++ b/peers/instance/src/work/demand.rs
@@ -1,54 +1,54 @@
-//! Demand that an entry states to an agent, and what the agent answers.
+//! Queries of an entry to an agent: credits for its demand, load and cache events.
 
 use pimentotide_model::{Incarnation, InstanceName, LoadReport};
 use pimentotide_outcome::LedgerEpoch;
 use pimentotide_routing::{CreditId, EntryDemand, Grant};
 use serde::{Deserialize, Serialize};
 
-/// Requests that wait in an entry; empty withdraws what was stated before.
+/// Demand of one entry; replaces the previous one, and an empty one withdraws it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct DemandOrder {
-    /// Entry that asks.
+    /// Entry that sends the demand.
     pub entry: InstanceName,
-    /// What waits there.
+    /// Requests queued in the entry.
     pub demand: EntryDemand,
-    /// Credits that the entry has no use for.
+    /// Unused credits that the entry returns.
     pub returned: Vec<CreditId>,
 }
 
-/// Credits granted, as soon as there are some.
+/// Answer to a demand; empty if no credit was granted before the timeout.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct DemandAnswer {
-    /// Credits for the entry that asked.
+    /// Credits granted to the entry.
     pub grants: Vec<Grant>,
 }
 
-/// Request for what an agent knows of its upstream.
+/// Request for the load and the new cache events of an agent's upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NewsOrder {
-    /// Start of the upstream that the entry knows.
+    /// Incarnation of the upstream that `sequence` refers to.
     pub incarnation: Incarnation,
-    /// Last cache event that the entry has.
+    /// Sequence number of the last cache event that the entry received.
     pub sequence: u64,
 }
 
-/// What an agent knows of its upstream.
+/// Load and cache events of an agent's upstream.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct News {
-    /// Memory of claims that the agent has.
+    /// Epoch of the agent's claim ledger.
     pub epoch: LedgerEpoch,
-    /// Load.
+    /// Load of the upstream.
     pub report: LoadReport,
-    /// Cache events that follow, oldest first; some may be missing.
+    /// Cache events after the requested one, oldest first; some may be missing.
     pub events: Vec<BlockEvent>,
 }
 
-/// One change of the upstream's prefix cache.
+/// Change of one block in the upstream's prefix cache.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BlockEvent {
     /// Position in the upstream's sequence of events, from 1.
     pub sequence: u64,
-    /// Whether the block is stored rather than evicted.
+    /// `true` if the block was stored, `false` if it was evicted.
     pub stored: bool,
     /// Hash of the block.
     pub block: u64,
--- a/peers/instance/src/work/frame.rs
+++ b/peers/instance/src/work/frame.rs
@@ -1,4 +1,4 @@
-//! Frames of an answer, each prefixed with its length.
+//! Length-prefixed frames of an answer.
 
 use bytes::{Bytes, BytesMut};
 use derive_more::Display;
@@ -9,17 +9,17 @@
 /// Largest frame, in bytes.
 pub const MAX_FRAME_BYTES: usize = 4 << 20;
 
-/// One step of an answer.
+/// Part of an answer.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Frame {
-    /// The agent did not pass the request on, and will not.
+    /// The agent has not forwarded the request and will not do so.
     Refused {
-        /// Why.
+        /// Reason for the refusal.
         failure: Failure,
         /// Load of the upstream.
         report: LoadReport,
     },
-    /// The upstream is at work; the answer is not there yet.
+    /// Keep-alive while the upstream has not answered yet.
     Alive,
     /// Head of the upstream's answer.
     Head {
@@ -37,21 +37,21 @@
         /// Bytes: one event of a stream, or a part of a plain body.
         data: Bytes,
     },
-    /// The answer is whole.
+    /// The answer is complete.
     End {
-        /// Pieces of the whole answer.
+        /// Number of pieces in the whole answer.
         pieces: u64,
         /// Load of the upstream.
         report: LoadReport,
     },
-    /// The answer broke off.
+    /// The answer was interrupted.
     Failed {
-        /// Why, and whether the request ran.
+        /// Reason, and whether the request ran.
         failure: Failure,
     },
 }
 
-/// Why a frame cannot be read or written.
+/// Reason why a frame cannot be encoded or decoded.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 pub enum FrameError {
     /// Longer than [`MAX_FRAME_BYTES`].
@@ -80,7 +80,7 @@
     }
 }
 
-/// Reads frames from bytes as they arrive.
+/// Incremental decoder of frames.
 #[derive(Debug)]
 pub struct FrameDecoder {
     codec: LengthDelimitedCodec,
@@ -88,16 +88,16 @@
 }
 
 impl FrameDecoder {
-    /// Takes in bytes that arrived.
+    /// Appends received bytes.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// Takes out the next whole frame.
+    /// Removes and returns the next complete frame; `None` if more bytes are needed.
     ///
     /// # Errors
     ///
-    /// Fails if what arrived is not a sequence of frames.
+    /// Fails if a frame is too long or malformed.
     pub fn next_frame(&mut self) -> Result<Option<Frame>, FrameError> {
         let body = self
             .codec
--- a/peers/instance/src/work/mod.rs
+++ b/peers/instance/src/work/mod.rs
@@ -1,9 +1,9 @@
-//! Work passed from an entry to an agent, and the answer on its way back.
+//! Protocol by which entries send work to agents and receive the answers.
 //!
 //! An entry posts one encoded [`WorkOrder`] to [`WORK_PATH`]. The agent answers
-//! with a sequence of [`Frame`]s, each written as soon as the upstream has
-//! produced it. Only [`Frame::End`] closes an answer that is whole; a sequence
-//! that stops without one is a failure, never a short answer.
+//! with a sequence of [`Frame`]s, each sent as soon as the upstream produced it.
+//! Every complete answer ends with [`Frame::End`]; a sequence that stops without
+//! it counts as a failure.
 
 mod client;
 mod demand;
@@ -18,7 +18,7 @@
 /// Path to which entries post work.
 pub const WORK_PATH: &str = "/work";
 
-/// Path to which entries post the id of a request that they give up.
+/// Path to which entries post the id of a request to cancel.
 pub const CANCEL_PATH: &str = "/cancel";
 
 /// Path to which entries post their demand; answered when credits are granted.
--- a/peers/instance/src/work/order.rs
+++ b/peers/instance/src/work/order.rs
@@ -1,4 +1,4 @@
-//! One request as an entry passes it to an agent.
+//! Encoded request from an entry to an agent.
 
 use std::time::Duration;
 
@@ -14,59 +14,59 @@
 /// Largest encoded order, in bytes.
 pub const MAX_ORDER_BYTES: usize = 20 << 20;
 
-/// One request with all that an agent has to know about it.
+/// Request with everything that an agent needs to run it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct WorkOrder {
     /// Identifier of the request.
     pub id: RequestId,
     /// Entry that sends it.
     pub entry: InstanceName,
-    /// Start of the upstream that the entry means.
+    /// Incarnation of the upstream that the entry selected.
     pub incarnation: Incarnation,
-    /// Configuration under which the entry placed it.
+    /// Revision of the configuration under which the entry placed it.
     pub revision: Revision,
     /// Workspace on whose behalf it runs.
     pub workspace: WorkspaceName,
-    /// Service that is asked.
+    /// Requested service.
     pub service: ServiceName,
-    /// Priority: higher goes first.
+    /// Priority; higher values are served first.
     pub priority: Priority,
     /// Time left until its deadline.
     pub remaining: Duration,
     /// Whether it may run more than once.
     pub idempotent: bool,
-    /// Key of the caller.
+    /// Idempotency key of the caller; `None` if the caller sent none.
     pub key: Option<IdempotencyKey>,
-    /// Right to run it; set for non-idempotent requests.
+    /// Claim under which it may run; set for non-idempotent requests.
     pub claim: Option<HeldClaim>,
     /// Digest of the content.
     pub fingerprint: Fingerprint,
-    /// Credit to use.
+    /// Credit to redeem; `None` if the entry holds none.
     pub credit: Option<CreditId>,
     /// Number of the attempt, from 1.
     pub attempt: u32,
-    /// Pieces of the answer that the entry has already.
+    /// Number of pieces of the answer that the entry has already received.
     pub resume: u64,
     /// Method of the HTTP request.
     pub method: String,
     /// Path and query of the HTTP request.
     pub path: String,
-    /// Headers to pass on.
+    /// Headers to forward.
     pub headers: Vec<(String, String)>,
-    /// Body.
+    /// Body of the HTTP request.
     pub body: Vec<u8>,
 }
 
-/// Claim under which a request runs, and where it may run.
+/// Claim under which a request runs, with the place that it is valid for.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct HeldClaim {
-    /// Claim.
+    /// Identifier of the claim.
     pub claim: ClaimId,
-    /// Where it may run.
+    /// Upstream, incarnation and ledger epoch in which it may run.
     pub place: Place,
 }
 
-/// Why an order cannot be read or written.
+/// Reason why an order cannot be encoded or decoded.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 pub enum OrderError {
     /// Larger than [`MAX_ORDER_BYTES`].
@@ -84,7 +84,7 @@
     ///
     /// # Errors
     ///
-    /// Fails if the order is too large.
+    /// Fails if the order is larger than [`MAX_ORDER_BYTES`].
     pub fn encode(&self) -> Result<Vec<u8>, OrderError> {
         let bytes = postcard::to_stdvec(self).map_err(|e| OrderError::Malformed(e.to_string()))?;
         if bytes.len() > MAX_ORDER_BYTES {
@@ -97,7 +97,7 @@
     ///
     /// # Errors
     ///
-    /// Fails if the bytes are too many or not an order.
+    /// Fails if the bytes exceed [`MAX_ORDER_BYTES`] or are not an encoded order.
     pub fn decode(bytes: &[u8]) -> Result<Self, OrderError> {
         if bytes.len() > MAX_ORDER_BYTES {
             return Err(OrderError::TooLarge);
