--- a/peers/instance/tests/it/broken.rs
+++ b/peers/instance/tests/it/broken.rs
@@ -1,4 +1,7 @@
-//! What the work client says of an order whose connection fails.
+//! Errors of the work client when the connection to the agent fails.
+//!
+//! An order that the agent may have read must not be reported as unreachable,
+//! since it would then be sent again and could run twice.
 
 use std::io::Read;
 use std::net::{SocketAddr, TcpListener};
@@ -8,17 +11,17 @@
 use pimentotide_instance::work::{WorkClient, WorkError};
 use pimentotide_model::RequestId;
 
-/// Address of a server that reads one request whole and closes the connection.
-fn serve_silence() -> SocketAddr {
+/// Starts a server that reads one request and closes the connection unanswered.
+fn close_unanswered() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     thread::spawn(move || {
         let (mut stream, _) = listener.accept().unwrap();
-        let mut seen = Vec::new();
+        let mut received = Vec::new();
         let mut buffer = [0; 1024];
-        while !seen.ends_with(b"\r\n\r\n") {
+        while !received.ends_with(b"\r\n\r\n") {
             let count = stream.read(&mut buffer).unwrap();
-            seen.extend_from_slice(&buffer[..count]);
+            received.extend_from_slice(&buffer[..count]);
         }
     });
     address
@@ -31,13 +34,13 @@
 }
 
 #[actix_rt::test]
-async fn an_order_that_was_read_may_have_run() {
-    let error = cancel(serve_silence()).await;
+async fn order_may_have_run_if_the_connection_closes_unanswered() {
+    let error = cancel(close_unanswered()).await;
     assert!(matches!(error, WorkError::Broken(_)), "{error}");
 }
 
 #[actix_rt::test]
-async fn an_order_without_a_connection_did_not_run() {
+async fn order_without_a_connection_did_not_run() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     drop(listener);
--- a/peers/instance/tests/it/directory.rs
+++ b/peers/instance/tests/it/directory.rs
@@ -1,4 +1,4 @@
-//! Declarations, leases and the directory over loopback.
+//! Distribution of declarations, leases and the directory over loopback.
 
 use std::future::Future;
 use std::sync::Arc;
@@ -20,28 +20,29 @@
 };
 use tokio::sync::watch;
 
-/// Time after which a test gives up.
-const LIMIT: Duration = Duration::from_secs(20);
+/// Limit for each awaited event.
+const EVENT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Replicated state in memory; replicas of it share the machine.
+/// Replicated state in memory, shared by the replicas of a test.
 #[derive(Clone)]
 struct State {
     machine: SharedMachine,
-    entitled: Arc<AtomicBool>,
+    /// Whether a quorum confirms the state of the replica.
+    has_quorum: Arc<AtomicBool>,
 }
 
 impl State {
     fn new() -> Self {
         Self {
             machine: SharedMachine::default(),
-            entitled: Arc::new(AtomicBool::new(true)),
+            has_quorum: Arc::new(AtomicBool::new(true)),
         }
     }
 
-    /// Replica of the same state that no quorum confirms.
-    fn cut_off(&self) -> Self {
+    /// Source of the same state without a quorum.
+    fn without_quorum(&self) -> Self {
         Self {
-            entitled: Arc::new(AtomicBool::new(false)),
+            has_quorum: Arc::new(AtomicBool::new(false)),
             ..self.clone()
         }
     }
@@ -68,10 +69,10 @@
 
 impl Source for State {
     async fn confirm(&self) -> Result<(), Failure> {
-        if self.entitled.load(Ordering::Relaxed) {
+        if self.has_quorum.load(Ordering::Relaxed) {
             return Ok(());
         }
-        Err(Failure::new(ErrorKind::NoQuorum, "cut off"))
+        Err(Failure::new(ErrorKind::NoQuorum, "no quorum"))
     }
 
     fn read<T, F>(&self, read: F) -> T
@@ -118,11 +119,11 @@
     })
 }
 
-async fn soon<F>(what: &str, future: F) -> F::Output
+async fn within_limit<F>(what: &str, future: F) -> F::Output
 where
     F: Future,
 {
-    let outcome = tokio::time::timeout(LIMIT, future).await;
+    let outcome = tokio::time::timeout(EVENT_TIMEOUT, future).await;
     outcome.unwrap_or_else(|_| panic!("{what} did not happen"))
 }
 
@@ -130,7 +131,10 @@
 where
     F: FnMut(&View) -> bool,
 {
-    soon(what, view.wait_for(test)).await.unwrap().clone()
+    within_limit(what, view.wait_for(test))
+        .await
+        .unwrap()
+        .clone()
 }
 
 fn announcement(incarnation: u64) -> Announcement {
@@ -152,7 +156,7 @@
 }
 
 #[actix_rt::test]
-async fn orders_are_pushed_and_a_restart_takes_one_exchange() {
+async fn changes_are_pushed_and_a_restarted_follower_catches_up() {
     let state = State::new();
     let replica = Replica::start(&state, 1).await;
     let follower = follow(vec![replica.client()], None);
@@ -196,7 +200,7 @@
 }
 
 #[actix_rt::test]
-async fn loss_of_a_replica_is_not_felt() {
+async fn followers_stay_current_when_a_replica_stops() {
     let state = State::new();
     let first = Replica::start(&state, 1).await;
     let second = Replica::start(&state, 2).await;
@@ -216,30 +220,33 @@
 }
 
 #[actix_rt::test]
-async fn lease_runs_out_when_no_replica_is_entitled() {
+async fn lease_expires_when_no_replica_has_a_quorum() {
     let state = State::new();
-    let sound = Replica::start(&state, 1).await;
-    let alone = Replica::start(&state.cut_off(), 2).await;
-    let follower = follow(vec![sound.client(), alone.client()], None);
+    let confirmed = Replica::start(&state, 1).await;
+    let unconfirmed = Replica::start(&state.without_quorum(), 2).await;
+    let follower = follow(vec![confirmed.client(), unconfirmed.client()], None);
     let mut view = follower.view();
     until("first answer", &mut view, View::is_current).await;
-    state.entitled.store(false, Ordering::Relaxed);
-    let lapse = async {
+    state.has_quorum.store(false, Ordering::Relaxed);
+    let expired = async {
         while view.borrow().is_current() {
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     };
-    soon("lapse", lapse).await;
+    within_limit("expiry of the lease", expired).await;
     state.zone("o1", AdminState::Out);
     let mut later = view.clone();
-    let taken = later.wait_for(|v| v.declarations.revision > Revision(0));
-    let taken = tokio::time::timeout(Duration::from_secs(1), taken).await;
-    assert!(taken.is_err(), "an answer without a confirmation was taken");
-    let lapsed = view.borrow().clone();
-    assert_eq!(lapsed.declarations.revision, Revision(0));
-    let refused = lapsed.admit(&"s".into(), &"accra-a".into(), &"u1".into());
+    let accepted = later.wait_for(|v| v.declarations.revision > Revision(0));
+    let accepted = tokio::time::timeout(Duration::from_secs(1), accepted).await;
+    assert!(
+        accepted.is_err(),
+        "accepted an answer that no quorum confirmed"
+    );
+    let expired = view.borrow().clone();
+    assert_eq!(expired.declarations.revision, Revision(0));
+    let refused = expired.admit(&"s".into(), &"accra-a".into(), &"u1".into());
     assert_eq!(refused, Err(ErrorKind::NotCurrent));
-    state.entitled.store(true, Ordering::Relaxed);
+    state.has_quorum.store(true, Ordering::Relaxed);
     until("order", &mut view, |v| {
         v.declarations.revision == Revision(1)
     })
@@ -247,7 +254,7 @@
 }
 
 #[actix_rt::test]
-async fn upstreams_and_entries_are_announced_to_all() {
+async fn upstreams_and_entries_are_reported_to_every_replica() {
     let state = State::new();
     let first = Replica::start(&state, 1).await;
     let second = Replica::start(&state, 2).await;
@@ -279,20 +286,20 @@
     assert_eq!(*agent.standby().borrow(), IncarnationState::Newest);
     for replica in [&first, &second] {
         let all = async {
-            let known = |r: &pimentotide_control::directory::Registry| {
+            let complete = |r: &pimentotide_control::directory::Registry| {
                 let upstreams: Vec<_> = r.members().map(|m| m.notice.rank().0).collect();
                 upstreams == [Incarnation(6)] && r.entries().count() == 1
             };
-            while !replica.directory.read(known) {
+            while !replica.directory.read(complete) {
                 tokio::time::sleep(Duration::from_millis(20)).await;
             }
         };
-        soon("report", all).await;
+        within_limit("report", all).await;
     }
 }
 
 #[actix_rt::test]
-async fn restarted_agent_learns_the_floor_of_its_fencing_numbers() {
+async fn restarted_agent_receives_its_fencing_floor() {
     let state = State::new();
     for _ in 0..3 {
         state.apply(&Command::Allot("u1".into()));
--- a/peers/instance/tests/it/link.rs
+++ b/peers/instance/tests/it/link.rs
@@ -1,4 +1,4 @@
-//! Membership check, failures in answers and reconnection of the client.
+//! Authentication by token, failures in answers and reconnection of the client.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -41,7 +41,7 @@
 }
 
 #[actix_rt::test]
-async fn a_member_is_answered_by_every_module() {
+async fn client_with_the_token_reaches_every_module() {
     let server = server(ANY_PORT, SECRET).await;
     let client = PeerClient::connect(server.address(), token_of(SECRET));
     let answer: String = client.call("echo", ["hello"]).await.unwrap();
@@ -53,7 +53,7 @@
 }
 
 #[actix_rt::test]
-async fn a_sender_without_the_token_is_refused() {
+async fn client_without_the_token_is_rejected() {
     let server = server(ANY_PORT, SECRET).await;
     for wrong in [
         "secret-of-the-tes",
@@ -69,7 +69,7 @@
 }
 
 #[actix_rt::test]
-async fn a_client_connects_again_after_a_restart() {
+async fn client_reconnects_after_a_server_restart() {
     let first = server(ANY_PORT, SECRET).await;
     let address = first.address();
     let timeouts = PeerTimeouts {
@@ -87,12 +87,12 @@
 }
 
 #[test]
-fn a_token_is_never_printed() {
+fn token_is_hidden_in_debug_output() {
     assert_eq!(format!("{:?}", token_of(SECRET)), "Token(..)");
 }
 
 #[test]
-fn a_secret_that_is_easy_to_guess_is_not_accepted() {
+fn short_secret_is_rejected() {
     for weak in ["", "secret", "fifteen-letters"] {
         assert_eq!(Token::open(weak).unwrap_err(), TokenError::Length);
     }
--- a/peers/instance/tests/it/main.rs
+++ b/peers/instance/tests/it/main.rs
@@ -1,4 +1,4 @@
-//! Integration tests of the protocol between processes.
+//! Tests of the protocol between processes over loopback connections.
 
 mod broken;
 mod directory;
--- a/peers/instance/tests/it/replica.rs
+++ b/peers/instance/tests/it/replica.rs
@@ -1,4 +1,4 @@
-//! Replicas with real folders, connections and clocks.
+//! Replicas with real folders, connections and clocks on loopback.
 
 use std::net::{SocketAddr, TcpListener};
 use std::path::Path;
@@ -10,11 +10,12 @@
 use pimentotide_model::{ErrorKind, InstanceName, Time};
 use tempfile::TempDir;
 
-/// Longest wait for anything that has to happen.
-const PATIENCE: Duration = Duration::from_secs(20);
-const PAUSE: Duration = Duration::from_millis(20);
+/// Limit for each awaited event.
+const EVENT_TIMEOUT: Duration = Duration::from_secs(20);
+/// Polling interval.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Keeps all commands.
+/// State machine that stores all commands in order.
 #[derive(Debug, Default)]
 struct List(Vec<String>);
 
@@ -40,13 +41,13 @@
     handle: ReplicaHandle<List>,
 }
 
-/// Three instances on loopback.
-struct Place {
+/// Addresses and data folders of the replicas of a test.
+struct Deployment {
     folder: TempDir,
     founders: Vec<(InstanceName, SocketAddr)>,
 }
 
-impl Place {
+impl Deployment {
     fn new(count: usize) -> Self {
         let sockets: Vec<_> = (0..count)
             .map(|_| TcpListener::bind("127.0.0.1:0").unwrap())
@@ -106,28 +107,28 @@
     }
 }
 
-/// Waits until `done` holds.
+/// Polls until `done` returns true.
 async fn until<F>(what: &str, mut done: F)
 where
     F: AsyncFnMut() -> bool,
 {
-    let waited = async {
+    let polled = async {
         while !done().await {
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     };
-    let result = tokio::time::timeout(PATIENCE, waited).await;
+    let result = tokio::time::timeout(EVENT_TIMEOUT, polled).await;
     assert!(result.is_ok(), "{what} did not happen");
 }
 
-/// Proposes until it is accepted; not repeated once it may have run.
+/// Proposes a command until a leader commits it; panics on any other failure.
 async fn propose(replica: &Running, command: &str) -> (Index, Vec<u8>) {
     loop {
         match replica.handle.propose(command.as_bytes().to_vec()).await {
             Ok(answer) => return answer,
             Err(f) => assert_eq!(f.kind, ErrorKind::NotLeader, "{f}"),
         }
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
@@ -147,8 +148,8 @@
 
 #[actix_rt::test]
 async fn a_single_replica_commits_and_finds_its_state_again() {
-    let place = Place::new(1);
-    let first = place.start(0).await;
+    let deployment = Deployment::new(1);
+    let first = deployment.start(0).await;
     for number in 0..50 {
         propose(&first, &format!("command {number}")).await;
     }
@@ -156,18 +157,19 @@
     let before = first.commands().await;
     assert_eq!(before.len(), 50);
     first.stop().await;
-    let second = place.start(0).await;
+    let second = deployment.start(0).await;
     let (_, answer) = propose(&second, "one more").await;
     assert_eq!(answer, b"51");
     assert_eq!(second.commands().await[..50], before);
     second.stop().await;
 }
 
-/// Pattern: power comes back, and upstreams announce themselves before there is a leader.
+/// After a power failure, upstreams announce themselves before a leader is elected;
+/// their commands must wait for the election instead of failing.
 #[actix_rt::test]
-async fn a_command_that_comes_before_there_is_a_leader_waits_for_one() {
-    let place = Place::new(3);
-    let first = place.start(0).await;
+async fn early_command_waits_for_a_leader() {
+    let deployment = Deployment::new(3);
+    let first = deployment.start(0).await;
     let short = Duration::from_millis(50);
     let alone = first
         .handle
@@ -175,10 +177,13 @@
         .await;
     assert_eq!(alone.unwrap_err().kind, ErrorKind::NotLeader);
     let waiting = first.handle.clone();
-    let proposed =
-        actix_rt::spawn(async move { waiting.propose_when_led(b"early".to_vec(), PATIENCE).await });
-    let second = place.start(1).await;
-    let third = place.start(2).await;
+    let proposed = actix_rt::spawn(async move {
+        waiting
+            .propose_when_led(b"early".to_vec(), EVENT_TIMEOUT)
+            .await
+    });
+    let second = deployment.start(1).await;
+    let third = deployment.start(2).await;
     let (_, answer) = proposed.await.unwrap().unwrap();
     assert_eq!(answer, b"1");
     for running in [first, second, third] {
@@ -187,10 +192,10 @@
 }
 
 #[actix_rt::test]
-async fn three_replicas_outlive_a_planned_stop_and_a_lost_disk() {
-    let place = Place::new(3);
-    let mut running = place.start_all().await;
-    until("the founding", async || running[0].voters().await == 3).await;
+async fn three_replicas_survive_a_planned_stop_and_a_lost_disk() {
+    let deployment = Deployment::new(3);
+    let mut running = deployment.start_all().await;
+    until("the bootstrap", async || running[0].voters().await == 3).await;
     let led = leader(&running).await;
     let (one, two) = ((led + 1) % 3, (led + 2) % 3);
     for number in 0..30 {
@@ -203,18 +208,19 @@
     let (_, answer) = propose(&running[0], "after the stop").await;
     assert_eq!(answer, b"31");
 
-    std::fs::remove_dir_all(place.folder(led)).unwrap();
-    let name = place.founders[led].0.clone();
-    running.insert(led, place.start(led).await);
+    std::fs::remove_dir_all(deployment.folder(led)).unwrap();
+    let name = deployment.founders[led].0.clone();
+    running.insert(led, deployment.start(led).await);
     assert_eq!(running[led].role().await, RoleKind::Outsider);
     running[one].handle.remove(name.clone()).await.unwrap();
     running[two]
         .handle
-        .add(name, place.founders[led].1)
+        .add(name, deployment.founders[led].1)
         .await
         .unwrap();
-    // Its own role counts: on the way it sees older members, itself with its old disk among them.
-    until("the return", async || {
+    // Its own role is decisive: while it catches up, it applies older member lists, in which
+    // it still has its old disk.
+    until("the rejoin", async || {
         running[led].role().await == RoleKind::Follower
     })
     .await;
--- a/peers/instance/tests/it/work.rs
+++ b/peers/instance/tests/it/work.rs
@@ -1,4 +1,4 @@
-//! Decoders of work orders and frames, against bytes that anybody may send.
+//! Decoders of work orders and frames, on valid and on arbitrary bytes.
 
 use bytes::Bytes;
 use pimentotide_instance::work::{
@@ -26,7 +26,7 @@
     ]
 }
 
-/// Feeds `bytes` in parts of `size` and takes out what can be read.
+/// Feeds `bytes` to a decoder in parts of `size` bytes and collects the frames.
 fn decode(bytes: &[u8], size: usize) -> Result<Vec<Frame>, FrameError> {
     let mut decoder = FrameDecoder::default();
     let mut frames = Vec::new();
@@ -41,7 +41,7 @@
 
 proptest! {
     #[test]
-    fn frames_come_out_as_they_went_in(
+    fn decoded_frames_equal_the_encoded_ones(
         frames in prop::collection::vec(frame(), 0..8),
         size in 1..64_usize,
     ) {
@@ -50,7 +50,7 @@
     }
 
     #[test]
-    fn no_bytes_make_the_frame_decoder_panic(
+    fn frame_decoder_does_not_panic_on_arbitrary_bytes(
         bytes in prop::collection::vec(any::<u8>(), 0..400),
         size in 1..64_usize,
     ) {
@@ -58,7 +58,7 @@
     }
 
     #[test]
-    fn no_bytes_make_the_order_decoder_panic(
+    fn order_decoder_does_not_panic_on_arbitrary_bytes(
         bytes in prop::collection::vec(any::<u8>(), 0..400),
     ) {
         let _ = WorkOrder::decode(&bytes);
@@ -66,13 +66,13 @@
 }
 
 #[test]
-fn a_frame_that_claims_to_be_huge_is_refused_before_it_arrives() {
-    let length = u32::try_from(MAX_FRAME_BYTES + 1).expect("a length");
+fn frame_with_an_excessive_length_is_rejected_before_its_body_arrives() {
+    let length = u32::try_from(MAX_FRAME_BYTES + 1).expect("length fits in u32");
     assert_eq!(decode(&length.to_be_bytes(), 4), Err(FrameError::TooLong));
 }
 
 #[test]
-fn an_order_that_is_too_large_is_refused_unread() {
+fn oversized_order_is_rejected() {
     let bytes = vec![0; MAX_ORDER_BYTES + 1];
     assert_eq!(WorkOrder::decode(&bytes), Err(OrderError::TooLarge));
 }
