--- a/app/src/agent/core.rs
+++ b/app/src/agent/core.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use pimentotide_instance::work::{
-    BlockEvent, DemandAnswer, DemandOrder, HeldClaim, News, NewsOrder, WorkOrder,
+    BlockEvent, DemandAnswer, DemandOrder, HeldClaim, UpdateRequest, UpstreamUpdate, WorkOrder,
 };
 use pimentotide_instance::{Clock, Token, View};
 use pimentotide_model::{
@@ -326,7 +326,7 @@
     }
 
     /// What entries are told about load and cache.
-    pub(super) fn news(&self, order: &NewsOrder) -> Option<News> {
+    pub(super) fn news(&self, order: &UpdateRequest) -> Option<UpstreamUpdate> {
         let mut inner = self.lock();
         let slot = inner.slot.as_mut()?;
         let known = order.incarnation == Incarnation(slot.engine.started);
@@ -337,7 +337,7 @@
             .filter(|e| e.sequence > since)
             .map(block_event)
             .collect();
-        Some(News {
+        Some(UpstreamUpdate {
             epoch: slot.ledger.epoch(),
             report: slot.gate.report(),
             events,
--- a/app/src/agent/routes.rs
+++ b/app/src/agent/routes.rs
@@ -5,8 +5,8 @@
 use bytes::Bytes;
 use futures_util::{StreamExt, stream};
 use pimentotide_instance::work::{
-    CANCEL_PATH, DEMAND_PATH, DemandOrder, Frame, HeldClaim, INQUIRY_PATH, NEWS_PATH, NewsOrder,
-    WORK_PATH, WorkOrder,
+    CANCEL_PATH, DEMAND_PATH, DemandOrder, Frame, HeldClaim, INQUIRY_PATH, NEWS_PATH,
+    UpdateRequest, WORK_PATH, WorkOrder,
 };
 use pimentotide_model::{ErrorKind, Failure, RequestId};
 use pimentotide_upstream::{ANNOUNCE_PATH, EngineState};
@@ -112,7 +112,7 @@
     if !is_member(&core, &request) {
         return HttpResponse::Forbidden().finish();
     }
-    match postcard::from_bytes::<NewsOrder>(&body) {
+    match postcard::from_bytes::<UpdateRequest>(&body) {
         Ok(order) => match core.news(&order) {
             Some(news) => encoded(&news),
             None => HttpResponse::ServiceUnavailable().finish(),
--- a/app/src/entry/attempt.rs
+++ b/app/src/entry/attempt.rs
@@ -243,7 +243,7 @@
 }
 
 fn work_failure(error: &WorkError) -> Failure {
-    let ran = if error.is_unseen() {
+    let ran = if error.is_not_forwarded() {
         Ran::No
     } else {
         Ran::Unknown
--- a/app/src/entry/once.rs
+++ b/app/src/entry/once.rs
@@ -14,7 +14,7 @@
 use pimentotide_caller::{Answer, AnswerBody};
 use pimentotide_control::{Command, Response};
 use pimentotide_instance::Submitter;
-use pimentotide_instance::work::{Frame, FrameStream, HeldClaim, NewsOrder, WorkClient};
+use pimentotide_instance::work::{Frame, FrameStream, HeldClaim, UpdateRequest, WorkClient};
 use pimentotide_model::{ErrorKind, Failure, Ran, UpstreamName};
 use pimentotide_outcome::{
     Action, Answer as Verdict, Attempt, Blob, Body, ClaimRef, Event, Intent, LedgerEpoch, NotRun,
@@ -184,12 +184,12 @@
         if known.is_some() {
             return known;
         }
-        let order = NewsOrder {
+        let order = UpdateRequest {
             incarnation: placed.incarnation,
             sequence: u64::MAX,
         };
         self.client
-            .news(placed.agent, &order)
+            .upstream_update(placed.agent, &order)
             .await
             .ok()
             .map(|news| news.epoch)
@@ -223,7 +223,7 @@
         });
         let event = match self.client.send(placed.agent, &order).await {
             Ok(frames) => collect(frames).await,
-            Err(e) if e.is_unseen() => Event::NotRun(NotRun::Refused),
+            Err(e) if e.is_not_forwarded() => Event::NotRun(NotRun::Refused),
             Err(_) => Event::Broken,
         };
         placed.flight.finish(match &event {
--- a/app/src/entry/tasks.rs
+++ b/app/src/entry/tasks.rs
@@ -6,7 +6,7 @@
 
 use actix_rt::task::JoinHandle;
 use pimentotide_caller::Health;
-use pimentotide_instance::work::{News, NewsOrder, WorkClient};
+use pimentotide_instance::work::{UpdateRequest, UpstreamUpdate, WorkClient};
 use pimentotide_model::{Incarnation, UpstreamName};
 use pimentotide_routing::{CacheChange, CacheEvent, EntryState};
 
@@ -82,7 +82,7 @@
 
 /// Asks each agent in turn for its load and its cache events.
 async fn gather_news(core: Arc<Core>, client: WorkClient) {
-    let mut known = std::collections::BTreeMap::<UpstreamName, NewsOrder>::new();
+    let mut known = std::collections::BTreeMap::<UpstreamName, UpdateRequest>::new();
     loop {
         let upstreams = Arc::clone(&core.view().upstreams);
         known.retain(|name, _| upstreams.contains_key(name));
@@ -96,11 +96,11 @@
                 .get(name)
                 .filter(|o| o.incarnation == announcement.incarnation)
                 .copied()
-                .unwrap_or(NewsOrder {
+                .unwrap_or(UpdateRequest {
                     incarnation: announcement.incarnation,
                     sequence: 0,
                 });
-            match client.news(agent, &order).await {
+            match client.upstream_update(agent, &order).await {
                 Ok(news) => drop(known.insert(name.clone(), take_news(&core, name, order, &news))),
                 Err(e) => log::debug!("asking the agent of {name} for news failed: {e}"),
             }
@@ -112,7 +112,12 @@
 }
 
 /// Takes in what an agent said; returns what to ask next.
-fn take_news(core: &Core, upstream: &UpstreamName, order: NewsOrder, news: &News) -> NewsOrder {
+fn take_news(
+    core: &Core,
+    upstream: &UpstreamName,
+    order: UpdateRequest,
+    news: &UpstreamUpdate,
+) -> UpdateRequest {
     core.observe_report(upstream, &news.report);
     let incarnation: Incarnation = news.report.incarnation;
     let now = core.now();
@@ -133,7 +138,7 @@
         inner.placer.observe_cache(upstream, event, now);
     }
     let sequence = news.events.last().map_or(order.sequence, |e| e.sequence);
-    NewsOrder {
+    UpdateRequest {
         incarnation,
         sequence,
     }
--- a/app/src/fleet/agent/mod.rs
+++ b/app/src/fleet/agent/mod.rs
@@ -39,8 +39,8 @@
 const TIMEOUTS: PeerTimeouts = PeerTimeouts {
     connect: Duration::from_millis(250),
     call: Duration::from_millis(600),
-    pause: Duration::from_millis(100),
-    silence: Duration::from_millis(1_500),
+    retry_delay: Duration::from_millis(100),
+    idle: Duration::from_millis(1_500),
 };
 
 /// Running agent.
--- a/app/src/fleet/agent/ranks.rs
+++ b/app/src/fleet/agent/ranks.rs
@@ -25,8 +25,8 @@
 const TIMEOUTS: PeerTimeouts = PeerTimeouts {
     connect: Duration::from_millis(250),
     call: Duration::from_millis(450),
-    pause: Duration::from_millis(50),
-    silence: Duration::from_millis(1_500),
+    retry_delay: Duration::from_millis(50),
+    idle: Duration::from_millis(1_500),
 };
 
 /// Longest wait for an engine that is asked straight.
--- a/app/src/fleet/control/desk.rs
+++ b/app/src/fleet/control/desk.rs
@@ -62,7 +62,9 @@
     /// Replicates a command and logs what became of it.
     pub(super) async fn order(&self, command: &Command) -> Result<Reply, Failure> {
         let start = Instant::now();
-        let result = self.replica.propose_when_led(command.encode(), LEADER_WAIT);
+        let result = self
+            .replica
+            .propose_with_leader(command.encode(), LEADER_WAIT);
         let result = result.await;
         let result = result.map(|(_, reply)| Reply::decode(&reply));
         let reply = match &result {
--- a/app/src/fleet/control/membership.rs
+++ b/app/src/fleet/control/membership.rs
@@ -31,8 +31,8 @@
 const TIMEOUTS: PeerTimeouts = PeerTimeouts {
     connect: Duration::from_millis(300),
     call: Duration::from_millis(1_500),
-    pause: Duration::from_millis(200),
-    silence: Duration::from_millis(1_500),
+    retry_delay: Duration::from_millis(200),
+    idle: Duration::from_millis(1_500),
 };
 
 /// Role, term and leader of a replica.
--- a/app/src/fleet/entry/follow.rs
+++ b/app/src/fleet/entry/follow.rs
@@ -23,8 +23,8 @@
 const TIMEOUTS: PeerTimeouts = PeerTimeouts {
     connect: Duration::from_millis(250),
     call: Duration::from_millis(900),
-    pause: Duration::from_millis(50),
-    silence: Duration::from_millis(1_500),
+    retry_delay: Duration::from_millis(50),
+    idle: Duration::from_millis(1_500),
 };
 
 /// Follows the shared state until it is aborted.
--- a/app/src/run/roles.rs
+++ b/app/src/run/roles.rs
@@ -245,7 +245,7 @@
     let links = [
         actix_rt::spawn(hear(agent.heard(), Arc::clone(&follower))),
         actix_rt::spawn(rename(reporter.incarnation(), Arc::clone(&agent))),
-        actix_rt::spawn(step_back(reporter.standby(), Arc::clone(&agent))),
+        actix_rt::spawn(step_back(reporter.incarnation_state(), Arc::clone(&agent))),
     ];
     Ok(AgentRole {
         agent,
@@ -259,7 +259,7 @@
 async fn hear(mut heard: watch::Receiver<Revision>, follower: Arc<Follower>) {
     while heard.changed().await.is_ok() {
         let revision = *heard.borrow_and_update();
-        follower.hear(revision);
+        follower.observe_revision(revision);
     }
 }
 
--- a/dev/bench/src/bin/capacity_entry.rs
+++ b/dev/bench/src/bin/capacity_entry.rs
@@ -6,7 +6,7 @@
 use pimentotide_bench::target::{
     MODELS, UPSTREAMS, WORKSPACES, announcement, declarations, service,
 };
-use pimentotide_instance::work::{BlockEvent, News, NewsOrder};
+use pimentotide_instance::work::{BlockEvent, UpdateRequest, UpstreamUpdate};
 use pimentotide_model::{
     Fingerprint, Incarnation, LoadReport, Priority, RequestId, RequestMeta, Time, Warmth,
 };
@@ -163,7 +163,7 @@
 }
 
 fn print_news() {
-    let order = NewsOrder {
+    let order = UpdateRequest {
         incarnation: Incarnation(1_764_800_000_000_000),
         sequence: 1_000_000,
     };
@@ -172,7 +172,7 @@
     println!("question {}", bytes(postcard::to_stdvec(&order)));
     println!("{:>8} {:>8}", "events", "bytes");
     for events in EVENTS {
-        let news = News {
+        let news = UpstreamUpdate {
             epoch: LedgerEpoch(1_764_800_000_000_000),
             report: report(1_000_000),
             events: (0..events).map(event).collect(),
--- a/peers/instance/src/client.rs
+++ b/peers/instance/src/client.rs
@@ -31,9 +31,9 @@
     /// Default limit for the answer to a call.
     pub call: Duration,
     /// Delay between a failed connection attempt and the next.
-    pub pause: Duration,
+    pub retry_delay: Duration,
     /// Time without traffic after which a connection counts as broken.
-    pub silence: Duration,
+    pub idle: Duration,
 }
 
 impl Default for PeerTimeouts {
@@ -41,8 +41,8 @@
         Self {
             connect: Duration::from_millis(500),
             call: Duration::from_secs(2),
-            pause: Duration::from_millis(50),
-            silence: Duration::from_secs(3),
+            retry_delay: Duration::from_millis(50),
+            idle: Duration::from_secs(3),
         }
     }
 }
@@ -151,7 +151,7 @@
             return Ok(client.clone());
         }
         link.client = None;
-        let retry_delay = self.shared.timeouts.pause;
+        let retry_delay = self.shared.timeouts.retry_delay;
         if link.failed_at.is_some_and(|at| at.elapsed() < retry_delay) {
             return Err(self.unreachable("the last connection attempt just failed"));
         }
@@ -177,8 +177,8 @@
         let mut headers = HeaderMap::new();
         headers.insert("authorization", value);
         let ping = PingConfig::new()
-            .ping_interval(timeouts.silence / 3)
-            .inactive_limit(timeouts.silence)
+            .ping_interval(timeouts.idle / 3)
+            .inactive_limit(timeouts.idle)
             .max_failures(1);
         let connecting = WsClientBuilder::default()
             .set_headers(headers)
--- a/peers/instance/src/directory/follow.rs
+++ b/peers/instance/src/directory/follow.rs
@@ -76,7 +76,7 @@
     /// Records a revision received in a message of another process.
     ///
     /// If it is newer than the one in force, the next replica is polled at once.
-    pub fn hear(&self, revision: Revision) {
+    pub fn observe_revision(&self, revision: Revision) {
         if self.shared.lock().watch.observe_revision(revision) {
             self.shared.outdated.notify_one();
         }
--- a/peers/instance/src/directory/report.rs
+++ b/peers/instance/src/directory/report.rs
@@ -78,7 +78,7 @@
 
     /// Subscribes to whether the agent may accept new work or is superseded by
     /// another process of the same name.
-    pub fn standby(&self) -> watch::Receiver<IncarnationState> {
+    pub fn incarnation_state(&self) -> watch::Receiver<IncarnationState> {
         self.shared.state.subscribe()
     }
 }
--- a/peers/instance/src/replica/actor.rs
+++ b/peers/instance/src/replica/actor.rs
@@ -265,7 +265,7 @@
     fn register(&mut self, reply: PendingReply) -> ProposalId {
         self.last_proposal += 1;
         let id = ProposalId(self.last_proposal);
-        let deadline = self.clock.now() + self.options.patience;
+        let deadline = self.clock.now() + self.options.request_timeout;
         self.pending.insert(id, Pending { reply, deadline });
         id
     }
@@ -289,7 +289,7 @@
     }
 
     fn compact(&mut self) {
-        if self.node.compactable() < self.options.compact {
+        if self.node.compactable() < self.options.compact_after {
             return;
         }
         let index = self.applier.applied();
--- a/peers/instance/src/replica/handle.rs
+++ b/peers/instance/src/replica/handle.rs
@@ -194,7 +194,7 @@
                 ..
             }) => {
                 let client = self.client(leader);
-                let forwarded = rpc::propose(&client, &command, self.options.patience).await;
+                let forwarded = rpc::propose(&client, &command, self.options.request_timeout).await;
                 forwarded.map_err(leader_unreachable)
             }
             result => result.map_err(|r| r.failure),
@@ -209,7 +209,7 @@
                 ..
             }) => {
                 let client = self.client(leader);
-                let forwarded = rpc::read(&client, self.options.patience).await;
+                let forwarded = rpc::read(&client, self.options.request_timeout).await;
                 let index = forwarded.map_err(leader_unreachable)?;
                 self.wait_applied(index).await?;
                 Ok(index)
@@ -272,7 +272,7 @@
     /// # Errors
     ///
     /// Fails like [`propose`](Self::propose), with `not_leader` if no leader is elected in time.
-    pub async fn propose_when_led(
+    pub async fn propose_with_leader(
         &self,
         command: Vec<u8>,
         limit: Duration,
@@ -326,7 +326,7 @@
                 ..
             }) => {
                 let client = self.client(leader);
-                let forwarded = rpc::change(&client, &change, self.options.patience).await;
+                let forwarded = rpc::change(&client, &change, self.options.request_timeout).await;
                 forwarded.map_err(leader_unreachable)
             }
             result => result.map(|_| ()).map_err(|r| r.failure),
@@ -371,7 +371,7 @@
     async fn wait_applied(&self, index: Index) -> Result<(), Failure> {
         let mut applied = self.applied.clone();
         let reached = applied.wait_for(|current| *current >= index);
-        match tokio::time::timeout(self.options.patience, reached).await {
+        match tokio::time::timeout(self.options.request_timeout, reached).await {
             Ok(Ok(_)) => Ok(()),
             Ok(Err(_)) => Err(stopped()),
             Err(_) => Err(Failure::new(
--- a/peers/instance/src/replica/link.rs
+++ b/peers/instance/src/replica/link.rs
@@ -28,8 +28,8 @@
 pub(super) const TIMEOUTS: PeerTimeouts = PeerTimeouts {
     connect: Duration::from_millis(300),
     call: Duration::from_secs(1),
-    pause: Duration::from_millis(50),
-    silence: Duration::from_millis(1_500),
+    retry_delay: Duration::from_millis(50),
+    idle: Duration::from_millis(1_500),
 };
 
 /// Send queues to the other replicas, by address.
--- a/peers/instance/src/replica/options.rs
+++ b/peers/instance/src/replica/options.rs
@@ -26,9 +26,9 @@
     /// Timeouts and limits of the log.
     pub log: Options,
     /// Number of compactable entries at which the log is compacted.
-    pub compact: u64,
+    pub compact_after: u64,
     /// Limit for a proposal, a read or a member change.
-    pub patience: Duration,
+    pub request_timeout: Duration,
     /// Age of the oldest unsynced write from which the disk counts as failed.
     pub stall: Duration,
 }
@@ -46,8 +46,8 @@
             token,
             founders: BTreeMap::new(),
             log: Options::default(),
-            compact: 4_096,
-            patience: Duration::from_secs(5),
+            compact_after: 4_096,
+            request_timeout: Duration::from_secs(5),
             stall: Duration::from_secs(3),
         }
     }
--- a/peers/instance/src/work/client.rs
+++ b/peers/instance/src/work/client.rs
@@ -20,7 +20,7 @@
 
 use super::{
     CANCEL_PATH, DEMAND_PATH, DemandAnswer, DemandOrder, Frame, FrameDecoder, HeldClaim,
-    INQUIRY_PATH, MAX_FRAME_BYTES, NEWS_PATH, News, NewsOrder, WORK_PATH, WorkOrder,
+    INQUIRY_PATH, MAX_FRAME_BYTES, NEWS_PATH, UpdateRequest, UpstreamUpdate, WORK_PATH, WorkOrder,
 };
 use crate::Token;
 
@@ -57,7 +57,7 @@
 
 impl WorkError {
     /// Whether the agent has certainly not forwarded the request to its upstream.
-    pub fn is_unseen(&self) -> bool {
+    pub fn is_not_forwarded(&self) -> bool {
         match self {
             Self::Unreachable(_) => true,
             Self::Rejected(status) => *status < MIN_SERVER_ERROR,
@@ -150,7 +150,11 @@
     /// # Errors
     ///
     /// Fails if the agent does not answer in time.
-    pub async fn news(&self, agent: SocketAddr, order: &NewsOrder) -> Result<News, WorkError> {
+    pub async fn upstream_update(
+        &self,
+        agent: SocketAddr,
+        order: &UpdateRequest,
+    ) -> Result<UpstreamUpdate, WorkError> {
         self.query(agent, NEWS_PATH, order).await
     }
 
--- a/peers/instance/src/work/demand.rs
+++ b/peers/instance/src/work/demand.rs
@@ -25,7 +25,7 @@
 
 /// Request for the load and the new cache events of an agent's upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct NewsOrder {
+pub struct UpdateRequest {
     /// Incarnation of the upstream that `sequence` refers to.
     pub incarnation: Incarnation,
     /// Sequence number of the last cache event that the entry received.
@@ -34,7 +34,7 @@
 
 /// Load and cache events of an agent's upstream.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct News {
+pub struct UpstreamUpdate {
     /// Epoch of the agent's claim ledger.
     pub epoch: LedgerEpoch,
     /// Load of the upstream.
--- a/peers/instance/src/work/mod.rs
+++ b/peers/instance/src/work/mod.rs
@@ -11,7 +11,7 @@
 mod order;
 
 pub use client::{FrameStream, WorkClient, WorkError};
-pub use demand::{BlockEvent, DemandAnswer, DemandOrder, News, NewsOrder};
+pub use demand::{BlockEvent, DemandAnswer, DemandOrder, UpdateRequest, UpstreamUpdate};
 pub use frame::{Frame, FrameDecoder, FrameError, MAX_FRAME_BYTES};
 pub use order::{HeldClaim, MAX_ORDER_BYTES, OrderError, WorkOrder};
 
--- a/peers/instance/tests/it/directory.rs
+++ b/peers/instance/tests/it/directory.rs
@@ -283,7 +283,10 @@
     let started = |v: &View| v.upstreams["u1"].incarnation == Incarnation(6);
     until("new start", &mut view, started).await;
     assert_eq!(*agent.incarnation().borrow(), Incarnation(6));
-    assert_eq!(*agent.standby().borrow(), IncarnationState::Newest);
+    assert_eq!(
+        *agent.incarnation_state().borrow(),
+        IncarnationState::Newest
+    );
     for replica in [&first, &second] {
         let all = async {
             let complete = |r: &pimentotide_control::directory::Registry| {
--- a/peers/instance/tests/it/link.rs
+++ b/peers/instance/tests/it/link.rs
@@ -73,7 +73,7 @@
     let first = server(ANY_PORT, SECRET).await;
     let address = first.address();
     let timeouts = PeerTimeouts {
-        pause: Duration::ZERO,
+        retry_delay: Duration::ZERO,
         ..PeerTimeouts::default()
     };
     let client = PeerClient::with_timeouts(address, token_of(SECRET), timeouts);
--- a/peers/instance/tests/it/replica.rs
+++ b/peers/instance/tests/it/replica.rs
@@ -71,8 +71,8 @@
         let token = Token::open("secret-of-the-test").unwrap();
         let mut options = ReplicaOptions::new(name, address, self.folder(number), token.clone())
             .with_founders(self.founders.clone());
-        options.compact = 20;
-        options.log.retained_entries = 5;
+        options.compact_after = 20;
+        options.log.keep = 5;
         let handle = Replica::spawn(options, List::default()).await.unwrap();
         let methods = module(handle.clone()).unwrap();
         let server = PeerServer::bind(address, token, [methods]).await.unwrap();
@@ -173,13 +173,13 @@
     let short = Duration::from_millis(50);
     let alone = first
         .handle
-        .propose_when_led(b"alone".to_vec(), short)
+        .propose_with_leader(b"alone".to_vec(), short)
         .await;
     assert_eq!(alone.unwrap_err().kind, ErrorKind::NotLeader);
     let waiting = first.handle.clone();
     let proposed = actix_rt::spawn(async move {
         waiting
-            .propose_when_led(b"early".to_vec(), EVENT_TIMEOUT)
+            .propose_with_leader(b"early".to_vec(), EVENT_TIMEOUT)
             .await
     });
     let second = deployment.start(1).await;
