--- a/app/src/agent/core.rs
+++ b/app/src/agent/core.rs
@@ -22,27 +22,27 @@
 
 use super::AgentOptions;
 use super::permit::Permit;
-use super::slot::{Arrival, Slot, running_already};
+use super::slot::{AdmitOutcome, Slot, already_running};
 
-/// Longest time for which a demand waits for a grant.
-const DEMAND_WAIT: Duration = Duration::from_millis(500);
+/// Maximum time that a demand request waits for a grant.
+const GRANT_WAIT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Entries for which grants are kept at most.
+/// Maximum number of entries with a mailbox.
 const MAX_MAILBOXES: usize = 1024;
 
-/// One agent.
+/// Shared state of one agent.
 pub(super) struct Core {
     options: AgentOptions,
     clock: Clock,
     epoch: LedgerEpoch,
-    /// Announcements of the upstream.
-    life: watch::Sender<Liveness>,
-    /// Signs that the upstream is at work.
-    signs: watch::Sender<u64>,
+    /// Latest announcement of the upstream, for crash detection.
+    liveness: watch::Sender<Liveness>,
+    /// Number of announcements that show progress of the upstream.
+    activity: watch::Sender<u64>,
     announce: watch::Sender<Option<Announcement>>,
     warmth: watch::Sender<Warmth>,
-    /// Highest revision that came with an order.
-    heard: watch::Sender<Revision>,
+    /// Highest revision received with a work order.
+    highest_revision: watch::Sender<Revision>,
     inner: Mutex<Inner>,
 }
 
@@ -52,16 +52,16 @@
     pub(super) slot: Option<Slot>,
     pub(super) running: BTreeMap<RequestId, RunningWork>,
     mailboxes: BTreeMap<InstanceName, Mailbox>,
-    leaving: bool,
+    draining: bool,
 }
 
-/// A request that has been passed on.
+/// A request that has been forwarded to the upstream.
 pub(super) struct RunningWork {
     cancel: Arc<Notify>,
     pub(super) fingerprint: Fingerprint,
 }
 
-/// Grants on their way to one entry.
+/// Grants that one entry has not collected yet.
 #[derive(Default)]
 struct Mailbox {
     grants: Vec<Grant>,
@@ -75,10 +75,10 @@
             options,
             clock: Clock::start(),
             epoch: LedgerEpoch(rand::rng().random()),
-            life: watch::Sender::default(),
-            signs: watch::Sender::new(0),
+            liveness: watch::Sender::default(),
+            activity: watch::Sender::new(0),
             warmth: watch::Sender::new(Warmth::Cold),
-            heard: watch::Sender::new(Revision::default()),
+            highest_revision: watch::Sender::new(Revision::default()),
             announce,
             inner: Mutex::default(),
         }
@@ -88,14 +88,14 @@
         &self.options
     }
 
-    /// Announcements of the upstream.
-    pub(super) fn life(&self) -> watch::Receiver<Liveness> {
-        self.life.subscribe()
+    /// Subscribes to the liveness of the upstream.
+    pub(super) fn liveness(&self) -> watch::Receiver<Liveness> {
+        self.liveness.subscribe()
     }
 
-    /// Changes with each sign that the upstream is at work.
-    pub(super) fn signs(&self) -> watch::Receiver<u64> {
-        self.signs.subscribe()
+    /// Subscribes to the announcements that show progress of the upstream.
+    pub(super) fn activity(&self) -> watch::Receiver<u64> {
+        self.activity.subscribe()
     }
 
     pub(super) fn token(&self) -> &Token {
@@ -118,12 +118,12 @@
         self.warmth.subscribe()
     }
 
-    pub(super) fn heard(&self) -> watch::Receiver<Revision> {
-        self.heard.subscribe()
+    pub(super) fn highest_revision(&self) -> watch::Receiver<Revision> {
+        self.highest_revision.subscribe()
     }
 
-    /// Takes orders for `incarnation` too, under which the upstream is announced.
-    pub(super) fn rename(&self, incarnation: Incarnation) {
+    /// Also accepts orders for `incarnation`, under which the directory lists the upstream.
+    pub(super) fn set_alias(&self, incarnation: Incarnation) {
         if let Some(slot) = &mut self.lock().slot {
             slot.alias = incarnation;
         }
@@ -141,10 +141,10 @@
         self.lock().running.len()
     }
 
-    /// Refuses new work from now on.
-    pub(super) fn leave(&self) {
+    /// Refuses all new work and announces the drain.
+    pub(super) fn drain(&self) {
         let mut inner = self.lock();
-        inner.leaving = true;
+        inner.draining = true;
         if let Some(slot) = &mut inner.slot {
             slot.gate.drain();
         }
@@ -152,23 +152,23 @@
         self.publish();
     }
 
-    /// Takes in what the upstream says of itself.
-    pub(super) fn engine_announced(&self, state: EngineState) {
+    /// Applies an announcement of the upstream.
+    pub(super) fn update_engine(&self, state: EngineState) {
         let now = self.now();
         let mut inner = self.lock();
-        let leaving = inner.leaving;
-        self.life
+        let draining = inner.draining;
+        self.liveness
             .send_modify(|l| l.record_announcement(Incarnation(state.started)));
         let before = inner.slot.as_ref().and_then(|slot| slot.engine.progress);
-        // An upstream that tells nothing of its progress is at work while it announces itself.
+        // Without a progress counter, each announcement counts as progress.
         if state.progress.is_none() || state.progress != before {
-            self.signs.send_modify(|count| *count += 1);
+            self.activity.send_modify(|count| *count += 1);
         }
         match &mut inner.slot {
             Some(slot) => slot.update(state, now),
             none => {
                 let mut slot = self.open_slot(state, now);
-                if leaving {
+                if draining {
                     slot.gate.drain();
                 }
                 *none = Some(slot);
@@ -178,7 +178,7 @@
         self.refresh();
     }
 
-    /// Puts the latest configuration and lease into force.
+    /// Applies the latest configuration and lease to the gate.
     pub(super) fn refresh(&self) {
         let view = self.options.view.borrow().clone();
         let now = self.now();
@@ -202,7 +202,7 @@
         self.publish();
     }
 
-    /// Expires credits and grants what is free.
+    /// Expires credits, grants free slots and publishes the warmth.
     pub(super) fn tick(&self) {
         let now = self.now();
         let mut inner = self.lock();
@@ -215,34 +215,34 @@
         if let Some(slot) = &mut inner.slot {
             let warmth = slot.gate.report().warmth;
             self.warmth
-                .send_if_modified(|held| std::mem::replace(held, warmth) != warmth);
+                .send_if_modified(|current| std::mem::replace(current, warmth) != warmth);
         }
     }
 
-    /// Decides what becomes of a request.
-    pub(super) fn arrive(self: &Arc<Self>, order: &WorkOrder) -> Arrival {
+    /// Admits, refuses or replays a request.
+    pub(super) fn admit(self: &Arc<Self>, order: &WorkOrder) -> AdmitOutcome {
         let now = self.now();
-        self.heard.send_if_modified(|held| {
-            let newer = order.revision > *held;
-            *held = order.revision.max(*held);
+        self.highest_revision.send_if_modified(|highest| {
+            let newer = order.revision > *highest;
+            *highest = order.revision.max(*highest);
             newer
         });
         let mut inner = self.lock();
         if inner.running.contains_key(&order.id) {
-            return Arrival::Failed(running_already());
+            return AdmitOutcome::Failed(already_running());
         }
         let Some(slot) = inner.slot.as_mut() else {
             let detail = "the upstream has not announced itself";
-            return Arrival::Refused(Failure::new(ErrorKind::NoUpstream, detail));
+            return AdmitOutcome::Refused(Failure::new(ErrorKind::NoUpstream, detail));
         };
-        if let Some(arrival) = slot.begin_claim(order, now) {
-            return arrival;
+        if let Some(outcome) = slot.begin_claim(order, now) {
+            return outcome;
         }
         let permit = match slot.admit(order, now) {
             Ok(permit) => permit,
             Err(failure) => {
                 slot.finish_claim(order, Conclusion::Refused, now);
-                return Arrival::Refused(failure);
+                return AdmitOutcome::Refused(failure);
             }
         };
         let engine = slot.engine.address;
@@ -252,7 +252,7 @@
             fingerprint: order.fingerprint,
         };
         inner.running.insert(order.id, work);
-        Arrival::Admitted(Permit::new(
+        AdmitOutcome::Admitted(Permit::new(
             Arc::clone(self),
             order.id,
             permit,
@@ -261,15 +261,15 @@
         ))
     }
 
-    /// Records how a claimed request ended.
-    pub(super) fn finish_claim(&self, order: &WorkOrder, end: Conclusion) {
+    /// Records the conclusion of a claimed request.
+    pub(super) fn finish_claim(&self, order: &WorkOrder, conclusion: Conclusion) {
         let now = self.now();
         if let Some(slot) = &mut self.lock().slot {
-            slot.finish_claim(order, end, now);
+            slot.finish_claim(order, conclusion, now);
         }
     }
 
-    /// Tells what became of a claim; one that never arrived is barred for good.
+    /// Returns the state of a claim, and bars one that has not arrived from running later.
     pub(super) fn inquire(&self, held: &HeldClaim) -> Option<Finding> {
         let now = self.now();
         let mut inner = self.lock();
@@ -277,7 +277,7 @@
         Some(slot.ledger.inquire(held.claim, &held.place, now))
     }
 
-    /// Notes the first token of an admitted request.
+    /// Records the first token of an admitted request.
     pub(super) fn first_token(&self, permit: &GatePermit) {
         let now = self.now();
         if let Some(slot) = &mut self.lock().slot {
@@ -285,7 +285,7 @@
         }
     }
 
-    /// Gives the place of an admitted request back.
+    /// Frees the slot of an admitted request.
     pub(super) fn complete(&self, id: RequestId, permit: GatePermit, done: Completed) {
         let now = self.now();
         let mut inner = self.lock();
@@ -297,23 +297,23 @@
         inner.deliver(grants);
     }
 
-    /// Gives up a running request on behalf of its entry.
+    /// Cancels a running request on behalf of its entry.
     pub(super) fn cancel(&self, id: RequestId) {
         if let Some(work) = self.lock().running.get(&id) {
             work.cancel.notify_one();
         }
     }
 
-    /// Takes an entry's demand and waits for credits.
+    /// Applies an entry's demand and waits for credits.
     pub(super) async fn demand(&self, order: DemandOrder) -> DemandAnswer {
         let entry = order.entry.clone();
         let waits = !order.demand.is_empty();
-        let Some(ready) = self.state_demand(order) else {
+        let Some(ready) = self.apply_demand(order) else {
             return DemandAnswer::default();
         };
         if waits {
-            // Without a grant in time the entry states its demand again.
-            let _ = tokio::time::timeout(DEMAND_WAIT, ready.notified()).await;
+            // After a timeout the entry sends its demand again.
+            let _ = tokio::time::timeout(GRANT_WAIT_TIMEOUT, ready.notified()).await;
         }
         let mut inner = self.lock();
         let grants = inner
@@ -325,12 +325,12 @@
         }
     }
 
-    /// What entries are told about load and cache.
-    pub(super) fn news(&self, order: &UpdateRequest) -> Option<UpstreamUpdate> {
+    /// Returns the load report and the cache events that the entry lacks.
+    pub(super) fn news(&self, order: &NewsOrder) -> Option<News> {
         let mut inner = self.lock();
         let slot = inner.slot.as_mut()?;
-        let known = order.incarnation == Incarnation(slot.engine.started);
-        let since = if known { order.sequence } else { 0 };
+        let same_incarnation = order.incarnation == Incarnation(slot.engine.started);
+        let since = if same_incarnation { order.sequence } else { 0 };
         let events = slot
             .events
             .iter()
@@ -344,7 +344,7 @@
         })
     }
 
-    /// Load of the upstream as seen here.
+    /// Load of the upstream as counted by the gate; default before its first announcement.
     pub(super) fn report(&self) -> LoadReport {
         let mut inner = self.lock();
         inner
@@ -354,7 +354,7 @@
             .unwrap_or_default()
     }
 
-    fn state_demand(&self, order: DemandOrder) -> Option<Arc<Notify>> {
+    fn apply_demand(&self, order: DemandOrder) -> Option<Arc<Notify>> {
         let now = self.now();
         let mut inner = self.lock();
         if !inner.mailboxes.contains_key(&order.entry) {
@@ -394,7 +394,7 @@
             .map(|(slot, address)| {
                 let announcement = self.announcement_of(&slot.engine, address);
                 Announcement {
-                    leaving: inner.leaving,
+                    leaving: inner.draining,
                     revision: slot.revision,
                     ..announcement
                 }
@@ -435,7 +435,7 @@
 }
 
 impl Inner {
-    /// Puts grants where the entries that they are for will find them.
+    /// Puts grants into the mailboxes of their entries.
     fn deliver(&mut self, grants: Vec<Grant>) {
         for grant in grants {
             if let Some(mailbox) = self.mailboxes.get_mut(&grant.entry) {
--- a/app/src/agent/crash.rs
+++ b/app/src/agent/crash.rs
@@ -1,4 +1,7 @@
-//! Tells the death of the upstream from the failure of one request.
+//! Distinguishes a crash of the upstream from the failure of one request.
+//!
+//! A crash is committed to the log before the failure is returned, so that no
+//! request that ran on the upstream is retried before it is a suspect.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,74 +13,71 @@
 use tokio::sync::OnceCell;
 
 use super::core::Core;
-use super::slot::Death;
+use super::slot::SuspectedCrash;
 
-/// Time after which an upstream that says nothing counts as dead.
-const SIGN_OF_LIFE: Duration = Duration::from_secs(1);
+/// Time without an announcement after which an upstream counts as crashed.
+const LIVENESS_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Time allowed for recording a crash.
+/// Timeout of committing a crash.
 const CRASH_TIMEOUT: Duration = Duration::from_secs(2);
 
 impl Core {
-    /// Tells the death of the upstream from the failure of one request.
-    ///
-    /// A death is committed before the failure is told, so that nothing that ran
-    /// on the upstream is tried again unobserved.
-    pub(super) async fn explain(&self, order: &WorkOrder, failure: Failure) -> Failure {
-        let Some((crash, once)) = self.crash_at(order.incarnation) else {
+    /// Reports a crash if the upstream crashed, then returns `failure`.
+    pub(super) async fn report_if_crashed(&self, order: &WorkOrder, failure: Failure) -> Failure {
+        let Some((crash, reported)) = self.suspected_crash(order.incarnation) else {
             return failure;
         };
-        if !self.has_died(order.incarnation).await {
+        if !self.has_crashed(order.incarnation).await {
             return failure;
         }
-        once.get_or_init(|| self.report_crash(crash)).await;
+        reported.get_or_init(|| self.report_crash(crash)).await;
         failure
     }
 
-    /// Crash that a broken connection may mean, and whether it has been reported.
-    fn crash_at(&self, incarnation: Incarnation) -> Option<(Crash, Arc<OnceCell<()>>)> {
+    /// Returns the crash that a broken connection may indicate, and its report cell.
+    fn suspected_crash(&self, incarnation: Incarnation) -> Option<(Crash, Arc<OnceCell<()>>)> {
         let mut inner = self.lock();
         let suspects = inner.running.values().map(|w| w.fingerprint);
         let mut suspects: Vec<_> = suspects.collect();
         suspects.sort_unstable();
         suspects.dedup();
         let slot = inner.slot.as_mut()?;
-        if slot.death.incarnation < incarnation {
-            slot.death = Death {
+        if slot.suspected.incarnation < incarnation {
+            slot.suspected = SuspectedCrash {
                 incarnation,
-                ..Death::default()
+                ..SuspectedCrash::default()
             };
         }
-        // Until the death is reported, all that ran then is still running.
-        if !slot.death.reported.initialized() {
-            slot.death.suspects = suspects;
+        // Until the crash is reported, every request that ran at the crash is still in `running`.
+        if !slot.suspected.reported.initialized() {
+            slot.suspected.suspects = suspects;
         }
         let crash = Crash {
             upstream: self.options().upstream.clone(),
             incarnation,
             zone: Some(self.options().zone.clone()),
             witness: Witness::Agent,
-            suspects: slot.death.suspects.clone(),
+            suspects: slot.suspected.suspects.clone(),
         };
-        Some((crash, Arc::clone(&slot.death.reported)))
+        Some((crash, Arc::clone(&slot.suspected.reported)))
     }
 
-    /// Whether the upstream has died, judged by what it announces from now on.
-    async fn has_died(&self, incarnation: Incarnation) -> bool {
-        let mut life = self.life();
-        let at_break = *life.borrow_and_update();
-        let told = |latest: &Liveness| latest.has_crashed(at_break, incarnation);
-        let decided = life.wait_for(|latest| told(latest).is_some());
-        match tokio::time::timeout(SIGN_OF_LIFE, decided).await {
-            Ok(Ok(latest)) => told(&latest).unwrap_or(true),
-            // Silence for that long, or no announcement to come.
+    /// Whether the upstream has crashed, according to its next announcements.
+    async fn has_crashed(&self, incarnation: Incarnation) -> bool {
+        let mut liveness = self.liveness();
+        let at_break = *liveness.borrow_and_update();
+        let verdict = |latest: &Liveness| latest.has_crashed(at_break, incarnation);
+        let decided = liveness.wait_for(|latest| verdict(latest).is_some());
+        match tokio::time::timeout(LIVENESS_TIMEOUT, decided).await {
+            Ok(Ok(latest)) => verdict(&latest).unwrap_or(true),
+            // No announcement within the timeout, or the channel is closed.
             Ok(Err(_)) | Err(_) => true,
         }
     }
 
     async fn report_crash(&self, crash: Crash) {
         log::warn!(
-            "upstream {} died while it ran {} contents",
+            "upstream {} crashed while running {} distinct requests",
             crash.upstream,
             crash.suspects.len()
         );
@@ -86,7 +86,7 @@
         };
         let command = Command::Outcome(pimentotide_outcome::Command::Crash(crash));
         if let Err(e) = control.submit(&command, CRASH_TIMEOUT).await {
-            log::error!("the crash of the upstream was not recorded: {e}");
+            log::error!("recording the crash of the upstream failed: {e}");
         }
     }
 }
--- a/app/src/agent/forward.rs
+++ b/app/src/agent/forward.rs
@@ -1,4 +1,4 @@
-//! Passes one request on to the upstream and frames its answer.
+//! Forwards one request to the upstream and frames its answer.
 
 use std::sync::Arc;
 
@@ -8,7 +8,7 @@
 use pimentotide_instance::work::{Frame, WorkOrder};
 use pimentotide_model::{ErrorKind, Failure, LoadReport, Ran};
 use pimentotide_outcome::{Blob, Body, Conclusion, Outcome};
-use pimentotide_routing::Outcome as Verdict;
+use pimentotide_routing::Outcome as GateOutcome;
 use pimentotide_upstream::{
     EngineAnswer, EngineClient, EngineError, EngineRequest, EventSplitter, KEY_HEADER,
     PRIORITY_HEADER, REQUEST_HEADER, RESUME_HEADER, STREAM_END, is_hop_header,
@@ -20,15 +20,15 @@
 
 thread_local! {
     static CLIENT: EngineClient = EngineClient::open();
-    /// For requests that may run only once.
+    /// Opens a new connection per request; for requests that may run only once.
     static FRESH_CLIENT: EngineClient = EngineClient::open_unpooled();
 }
 
-/// One request on its way through the agent.
-struct Passage {
+/// One request that is being forwarded.
+struct Forwarding {
     permit: Permit,
     sender: mpsc::Sender<Frame>,
-    /// Answer so far, kept for requests that run only once.
+    /// Answer so far; `None` for idempotent requests.
     record: Option<Recording>,
 }
 
@@ -39,11 +39,11 @@
     body: Vec<u8>,
 }
 
-/// Passes `order` on; its frames go to `sender`.
+/// Forwards `order` and sends the frames of its answer to `sender`.
 ///
-/// An idempotent request ends when the entry gives it up or its deadline
-/// passes. Any other request runs to its end, since its effect cannot be taken
-/// back, and its answer is kept in the agent's ledger.
+/// An idempotent request ends when the entry cancels it or its deadline passes.
+/// Any other request runs to completion, since its effect cannot be undone, and
+/// its answer is stored in the agent's ledger.
 pub(super) async fn forward(
     core: Arc<Core>,
     order: WorkOrder,
@@ -51,21 +51,23 @@
     sender: mpsc::Sender<Frame>,
 ) {
     let record = (!order.idempotent).then(Recording::default);
-    let mut passage = Passage {
+    let mut forwarding = Forwarding {
         permit,
         sender: sender.clone(),
         record,
     };
-    let last = run(&core, &order, &mut passage).await;
-    let last = match last {
-        Err(failure) if may_be_crash(&failure) => Err(core.explain(&order, failure).await),
-        last => last,
+    let result = run(&core, &order, &mut forwarding).await;
+    let result = match result {
+        Err(failure) if may_be_crash(&failure) => {
+            Err(core.report_if_crashed(&order, failure).await)
+        }
+        result => result,
     };
-    core.finish_claim(&order, conclusion(&last, passage.record.take()));
-    passage.permit.ended(verdict_of(&last));
-    // The place is free before the entry learns of the end.
-    drop(passage);
-    let frame = match last {
+    core.finish_claim(&order, conclusion(&result, forwarding.record.take()));
+    forwarding.permit.set_outcome(gate_outcome(&result));
+    // Frees the slot before the entry receives the last frame.
+    drop(forwarding);
+    let frame = match result {
         Ok(pieces) => Frame::End {
             pieces,
             report: core.report(),
@@ -76,14 +78,14 @@
             Frame::Failed { failure }
         }
     };
-    // An entry that went away needs no last frame.
+    // The entry may have closed the connection.
     let _ = sender.send(frame).await;
 }
 
-/// Frames of an answer that was recorded before.
-pub(super) fn again(outcome: &Outcome, report: LoadReport) -> Vec<Frame> {
+/// Returns the frames of a stored answer.
+pub(super) fn replay(outcome: &Outcome, report: LoadReport) -> Vec<Frame> {
     let Body::Whole(body) = &outcome.body else {
-        let detail = "the request ran; its answer is too large to be repeated";
+        let detail = "the request ran; its answer was too large to store";
         let failure = Failure::new(ErrorKind::OutcomeUnknown, detail).with_ran(Ran::Yes);
         return vec![Frame::Failed { failure }];
     };
@@ -101,22 +103,22 @@
     ]
 }
 
-/// Runs the request to its end, or to where it is given up.
-async fn run(core: &Core, order: &WorkOrder, passage: &mut Passage) -> Result<u64, Failure> {
-    let cancel = Arc::clone(&passage.permit.cancel);
-    let sender = passage.sender.clone();
-    let pass = passage.pass(core, order);
-    pin_mut!(pass);
-    let given_up = given_up(order, &cancel, &sender);
-    pin_mut!(given_up);
-    let mut signs = core.signs();
+/// Runs the request until it completes or is cancelled.
+async fn run(core: &Core, order: &WorkOrder, forwarding: &mut Forwarding) -> Result<u64, Failure> {
+    let cancel = Arc::clone(&forwarding.permit.cancel);
+    let sender = forwarding.sender.clone();
+    let exchange = forwarding.exchange(core, order);
+    pin_mut!(exchange);
+    let cancelled = cancelled(order, &cancel, &sender);
+    pin_mut!(cancelled);
+    let mut activity = core.activity();
     loop {
         tokio::select! {
-            last = &mut pass => return last,
-            failure = &mut given_up => return Err(failure),
-            sign = signs.changed() => {
-                // A full buffer holds frames that say as much.
-                if sign.is_ok() {
+            result = &mut exchange => return result,
+            failure = &mut cancelled => return Err(failure),
+            changed = activity.changed() => {
+                // Frames in a full buffer already show that the upstream is alive.
+                if changed.is_ok() {
                     let _ = sender.try_send(Frame::Alive);
                 }
             }
@@ -124,21 +126,21 @@
     }
 }
 
-/// Completes when an idempotent request is given up; never for any other.
-async fn given_up(order: &WorkOrder, cancel: &Notify, sender: &mpsc::Sender<Frame>) -> Failure {
+/// Completes when an idempotent request is cancelled or late; never for any other.
+async fn cancelled(order: &WorkOrder, cancel: &Notify, sender: &mpsc::Sender<Frame>) -> Failure {
     if !order.idempotent {
         return std::future::pending().await;
     }
     tokio::select! {
-        () = cancel.notified() => gone(),
-        () = sender.closed() => gone(),
-        () = tokio::time::sleep(order.remaining) => late(),
+        () = cancel.notified() => cancelled_by_entry(),
+        () = sender.closed() => cancelled_by_entry(),
+        () = tokio::time::sleep(order.remaining) => deadline_exceeded(),
     }
 }
 
-impl Passage {
-    /// Sends the head and the pieces; returns the number of pieces of the whole answer.
-    async fn pass(&mut self, core: &Core, order: &WorkOrder) -> Result<u64, Failure> {
+impl Forwarding {
+    /// Sends the head and the pieces; returns the position after the last piece.
+    async fn exchange(&mut self, core: &Core, order: &WorkOrder) -> Result<u64, Failure> {
         let client = if order.idempotent {
             CLIENT.with(Clone::clone)
         } else {
@@ -147,21 +149,21 @@
         let request = engine_request(order)?;
         let answer = client.send(self.permit.engine, &request).await;
         let answer = answer.map_err(|e| engine_failure(&e))?;
-        self.head(&answer, core.report()).await;
+        self.send_head(&answer, core.report()).await;
         if is_event_stream(&answer) {
-            self.events(order.resume, answer.body).await
+            self.send_events(order.resume, answer.body).await
         } else {
-            self.chunks(answer.body).await
+            self.send_chunks(answer.body).await
         }
     }
 
-    async fn head<S>(&mut self, answer: &EngineAnswer<S>, report: LoadReport) {
+    async fn send_head<S>(&mut self, answer: &EngineAnswer<S>, report: LoadReport) {
         let status = answer.status.as_u16();
-        let kept = answer
+        let forwarded = answer
             .headers
             .iter()
             .filter(|(name, _)| !is_hop_header(name));
-        let headers: Vec<_> = kept
+        let headers: Vec<_> = forwarded
             .filter_map(|(name, value)| Some((name.to_string(), value.to_str().ok()?.to_owned())))
             .collect();
         if let Some(record) = &mut self.record {
@@ -176,21 +178,21 @@
         .await;
     }
 
-    async fn chunks<S>(&mut self, body: S) -> Result<u64, Failure>
+    async fn send_chunks<S>(&mut self, body: S) -> Result<u64, Failure>
     where
         S: Stream<Item = Result<Bytes, EngineError>>,
     {
         pin_mut!(body);
         let mut position = 0;
         while let Some(chunk) = body.next().await {
-            self.piece(position, chunk.map_err(|e| engine_failure(&e))?)
+            self.send_piece(position, chunk.map_err(|e| engine_failure(&e))?)
                 .await;
             position += 1;
         }
         Ok(position)
     }
 
-    async fn events<S>(&mut self, resume: u64, body: S) -> Result<u64, Failure>
+    async fn send_events<S>(&mut self, resume: u64, body: S) -> Result<u64, Failure>
     where
         S: Stream<Item = Result<Bytes, EngineError>>,
     {
@@ -199,27 +201,30 @@
         let mut position = resume;
         while let Some(chunk) = body.next().await {
             splitter.push(&chunk.map_err(|e| engine_failure(&e))?);
-            while let Some(event) = splitter.next_event().map_err(|e| broken(&e.to_string()))? {
+            while let Some(event) = splitter
+                .next_event()
+                .map_err(|e| broken_answer(&e.to_string()))?
+            {
                 let last = event.data() == Some(STREAM_END);
-                self.piece(position, event.0).await;
+                self.send_piece(position, event.0).await;
                 position += 1;
                 if last {
                     return Ok(position);
                 }
             }
         }
-        Err(broken("the stream stopped before its end"))
+        Err(broken_answer("the stream ended early"))
     }
 
-    async fn piece(&mut self, position: u64, data: Bytes) {
-        self.permit.progress();
+    async fn send_piece(&mut self, position: u64, data: Bytes) {
+        self.permit.record_piece();
         if let Some(record) = &mut self.record {
             record.body.extend_from_slice(&data);
         }
         self.send(Frame::Piece { position, data }).await;
     }
 
-    /// A request that runs only once goes on when the entry has gone away.
+    /// Ignores a closed connection, since a request that runs only once continues without it.
     async fn send(&self, frame: Frame) {
         let _ = self.sender.send(frame).await;
     }
@@ -257,8 +262,8 @@
     kind.is_some_and(|k| k.starts_with("text/event-stream"))
 }
 
-fn conclusion(last: &Result<u64, Failure>, record: Option<Recording>) -> Conclusion {
-    match last {
+fn conclusion(result: &Result<u64, Failure>, record: Option<Recording>) -> Conclusion {
+    match result {
         Ok(_) => {
             let record = record.unwrap_or_default();
             Conclusion::Finished(Arc::new(Outcome {
@@ -272,15 +277,15 @@
     }
 }
 
-fn verdict_of(last: &Result<u64, Failure>) -> Verdict {
-    match last {
-        Ok(_) => Verdict::Good,
-        Err(failure) if failure.kind == ErrorKind::Cancelled => Verdict::Cancelled,
-        Err(_) => Verdict::Failed,
+fn gate_outcome(result: &Result<u64, Failure>) -> GateOutcome {
+    match result {
+        Ok(_) => GateOutcome::Good,
+        Err(failure) if failure.kind == ErrorKind::Cancelled => GateOutcome::Cancelled,
+        Err(_) => GateOutcome::Failed,
     }
 }
 
-/// Whether the upstream may have died under the request.
+/// Whether the upstream may have crashed while running the request.
 fn may_be_crash(failure: &Failure) -> bool {
     failure.kind == ErrorKind::UpstreamFailed && failure.ran != Ran::No
 }
@@ -293,17 +298,17 @@
     Failure::new(ErrorKind::UpstreamFailed, error.to_string()).with_ran(ran)
 }
 
-fn broken(detail: &str) -> Failure {
+fn broken_answer(detail: &str) -> Failure {
     Failure::new(ErrorKind::UpstreamFailed, detail).with_ran(Ran::Yes)
 }
 
-fn gone() -> Failure {
-    Failure::new(ErrorKind::Cancelled, "the entry gave the request up")
+fn cancelled_by_entry() -> Failure {
+    Failure::new(ErrorKind::Cancelled, "the entry cancelled the request")
 }
 
-fn late() -> Failure {
+fn deadline_exceeded() -> Failure {
     Failure::new(
         ErrorKind::DeadlineExceeded,
-        "the deadline passed while the request ran",
+        "the deadline passed while the request was running",
     )
 }
--- a/app/src/agent/mod.rs
+++ b/app/src/agent/mod.rs
@@ -1,9 +1,9 @@
-//! Role of the agent: the only way by which work reaches an upstream.
+//! Role of the agent: the proxy through which all work reaches an upstream.
 //!
-//! The agent listens twice: for entries, which post work, and for the upstream
-//! in its slot, which announces itself. It admits work through its gate, passes
-//! it on, and frames the answer so that the entry can tell a whole answer from
-//! one that broke off.
+//! The agent has two listeners: one for entries, which post work, and one for
+//! its upstream, which announces itself. It admits work through its gate,
+//! forwards it, and frames the answer so that the entry can distinguish a
+//! complete answer from a broken one.
 
 mod core;
 mod crash;
@@ -28,38 +28,38 @@
 
 use self::core::Core;
 
-/// Largest announcement of an upstream, in bytes.
+/// Maximum size of an announcement of the upstream.
 const MAX_STATE_BYTES: usize = 4 << 20;
 
-/// Time between looks at credits that ran out.
-const TICK: Duration = Duration::from_millis(50);
+/// Interval between checks for expired credits.
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Time between looks at whether all running requests have ended.
-const DRAIN_POLL: Duration = Duration::from_millis(20);
+/// Interval between checks for running requests during a drain.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What an agent needs to run.
+/// Options of an agent.
 pub struct AgentOptions {
     /// Name of the upstream.
     pub upstream: UpstreamName,
     /// Availability zone of the upstream.
     pub zone: ZoneName,
-    /// Address to serve entries on.
+    /// Listen address for entries.
     pub listen: SocketAddr,
-    /// Address to which the upstream announces itself.
+    /// Listen address for announcements of the upstream.
     pub engine: SocketAddr,
     /// Secret of the deployment.
     pub token: Token,
-    /// Configuration and membership as this process learns them.
+    /// Latest configuration and membership received by this process.
     pub view: watch::Receiver<View>,
-    /// Control replicas, told of crashes; none in a deployment without control.
+    /// Submits crash reports to control; `None` in a deployment without control.
     pub control: Option<Submitter>,
     /// Metrics of the process.
     pub metrics: Metrics,
-    /// Longest time a planned stop waits for running requests.
+    /// Maximum time that a planned stop waits for running requests.
     pub drain: Duration,
 }
 
-/// Why an agent could not start.
+/// Failure to bind a listen address of an agent.
 #[derive(Debug, Display)]
 #[display("agent on {address}: {source}")]
 pub struct AgentError {
@@ -83,7 +83,7 @@
     ///
     /// # Errors
     ///
-    /// Fails if one of the addresses cannot be bound.
+    /// Fails if either listen address cannot be bound.
     pub fn spawn(options: AgentOptions) -> Result<Self, AgentError> {
         let (listen, engine, drain) = (options.listen, options.engine, options.drain);
         let core = Arc::new(Core::new(options));
@@ -108,47 +108,47 @@
         self.work.0
     }
 
-    /// Address to which the upstream announces itself.
+    /// Address that accepts announcements of the upstream.
     pub fn engine_address(&self) -> SocketAddr {
         self.engine.0
     }
 
-    /// What the agent announces; none until the upstream has announced itself.
+    /// Subscribes to the announcement of the upstream; `None` before its first one.
     pub fn announcements(&self) -> watch::Receiver<Option<Announcement>> {
         self.core.announcements()
     }
 
-    /// How far the upstream has warmed up.
+    /// Subscribes to the warm-up state of the upstream.
     pub fn warmth(&self) -> watch::Receiver<Warmth> {
         self.core.warmth()
     }
 
-    /// Highest revision that came with an order of an entry.
+    /// Subscribes to the highest revision received with a work order.
     pub fn heard(&self) -> watch::Receiver<Revision> {
-        self.core.heard()
+        self.core.highest_revision()
     }
 
-    /// Takes orders for `incarnation` too, under which the directory knows the upstream.
+    /// Also accepts orders for `incarnation`, under which the directory lists the upstream.
     pub fn rename(&self, incarnation: Incarnation) {
-        self.core.rename(incarnation);
+        self.core.set_alias(incarnation);
     }
 
-    /// Takes no new work, since another process has the upstream's name.
+    /// Refuses new work, as when another process has taken over the upstream's name.
     pub fn leave(&self) {
-        self.core.leave();
+        self.core.drain();
     }
 
-    /// Takes no new work, lets running requests end, and stops.
+    /// Refuses new work, waits for running requests up to the drain time, and stops.
     pub async fn stop(&self) {
-        self.core.leave();
-        let patience = tokio::time::timeout(self.drain, async {
+        self.core.drain();
+        let drained = tokio::time::timeout(self.drain, async {
             while self.core.running() > 0 {
-                tokio::time::sleep(DRAIN_POLL).await;
+                tokio::time::sleep(DRAIN_POLL_INTERVAL).await;
             }
         });
-        if patience.await.is_err() {
+        if drained.await.is_err() {
             log::warn!(
-                "{} requests cut short at the end of the drain time",
+                "{} requests aborted at the end of the drain time",
                 self.core.running()
             );
         }
@@ -193,7 +193,7 @@
     Ok((address, handle))
 }
 
-/// Puts each change of configuration or lease into force.
+/// Applies each change of configuration or lease.
 async fn follow(core: Arc<Core>) {
     let mut views = core.views();
     while views.changed().await.is_ok() {
@@ -203,7 +203,7 @@
 
 async fn tick(core: Arc<Core>) {
     loop {
-        tokio::time::sleep(TICK).await;
+        tokio::time::sleep(TICK_INTERVAL).await;
         core.tick();
     }
 }
--- a/app/src/agent/permit.rs
+++ b/app/src/agent/permit.rs
@@ -1,4 +1,4 @@
-//! Right to pass one request on, held while it runs.
+//! Permit to forward one request, held while it runs.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -10,19 +10,20 @@
 
 use super::core::Core;
 
-/// Right to pass one request on; gives its place back when dropped.
+/// Permit to forward one request; frees its slot when dropped.
 pub(super) struct Permit {
     core: Arc<Core>,
     id: RequestId,
     inner: Option<GatePermit>,
     outcome: Outcome,
-    since: Time,
-    first: Option<Duration>,
-    last: Time,
+    admitted_at: Time,
+    /// Time from admission to the first piece.
+    first_token: Option<Duration>,
+    last_piece: Time,
     pieces: u32,
     /// Address of the upstream.
     pub(super) engine: SocketAddr,
-    /// Wakes when the entry gives the request up.
+    /// Notified when the entry cancels the request.
     pub(super) cancel: Arc<Notify>,
 }
 
@@ -34,43 +35,43 @@
         engine: SocketAddr,
         cancel: Arc<Notify>,
     ) -> Self {
-        let since = core.now();
+        let admitted_at = core.now();
         Self {
             core,
             id,
             inner: Some(inner),
             outcome: Outcome::Cancelled,
-            since,
-            first: None,
-            last: since,
+            admitted_at,
+            first_token: None,
+            last_piece: admitted_at,
             pieces: 0,
             engine,
             cancel,
         }
     }
 
-    /// Notes a piece of the answer.
-    pub(super) fn progress(&mut self) {
-        self.last = self.core.now();
+    /// Records a piece of the answer.
+    pub(super) fn record_piece(&mut self) {
+        self.last_piece = self.core.now();
         self.pieces += 1;
-        if self.first.is_none() {
-            self.first = Some(self.last.since(self.since));
+        if self.first_token.is_none() {
+            self.first_token = Some(self.last_piece.since(self.admitted_at));
             if let Some(permit) = &self.inner {
                 self.core.first_token(permit);
             }
         }
     }
 
-    /// Sets how the request ended; cancelled unless set.
-    pub(super) fn ended(&mut self, outcome: Outcome) {
+    /// Sets the outcome of the request; cancelled unless set.
+    pub(super) fn set_outcome(&mut self, outcome: Outcome) {
         self.outcome = outcome;
     }
 
-    /// Mean time between pieces; none if there were fewer than two.
-    fn gap(&self) -> Option<Duration> {
-        let first = self.since + self.first?;
+    /// Mean time between pieces; `None` for fewer than two.
+    fn mean_gap(&self) -> Option<Duration> {
+        let first = self.admitted_at + self.first_token?;
         let gaps = self.pieces.checked_sub(1).filter(|n| *n > 0)?;
-        Some(self.last.since(first) / gaps)
+        Some(self.last_piece.since(first) / gaps)
     }
 }
 
@@ -78,8 +79,8 @@
     fn drop(&mut self) {
         let done = Completed {
             outcome: self.outcome,
-            first_token: self.first,
-            token_gap: self.gap(),
+            first_token: self.first_token,
+            token_gap: self.mean_gap(),
         };
         if let Some(permit) = self.inner.take() {
             self.core.complete(self.id, permit, done);
--- a/app/src/agent/routes.rs
+++ b/app/src/agent/routes.rs
@@ -1,4 +1,4 @@
-//! Routes of an agent.
+//! HTTP routes of an agent, for entries and for its upstream.
 
 use actix_web::http::header::AUTHORIZATION;
 use actix_web::{HttpRequest, HttpResponse, web};
@@ -14,10 +14,10 @@
 use tokio::sync::mpsc;
 
 use super::core::Core;
-use super::forward::{again, forward};
-use super::slot::Arrival;
+use super::forward::{forward, replay};
+use super::slot::AdmitOutcome;
 
-/// Frames that may wait for the connection to the entry.
+/// Maximum number of frames buffered per connection to an entry.
 const FRAME_BUFFER: usize = 64;
 
 pub(super) fn for_entries(routes: &mut web::ServiceConfig) {
@@ -34,7 +34,7 @@
 }
 
 async fn work(core: web::Data<Core>, request: HttpRequest, body: Bytes) -> HttpResponse {
-    if !is_member(&core, &request) {
+    if !is_authorized(&core, &request) {
         return HttpResponse::Forbidden().finish();
     }
     let core = core.into_inner();
@@ -48,10 +48,10 @@
             });
         }
     };
-    let permit = match core.arrive(&order) {
-        Arrival::Admitted(permit) => permit,
-        Arrival::Ran(outcome) => return frames(&again(&outcome, core.report())),
-        Arrival::Refused(failure) => {
+    let permit = match core.admit(&order) {
+        AdmitOutcome::Admitted(permit) => permit,
+        AdmitOutcome::Replayed(outcome) => return frames(&replay(&outcome, core.report())),
+        AdmitOutcome::Refused(failure) => {
             core.metrics()
                 .count("agent.refused", ("kind", &failure.kind.to_string()), 1);
             return single(&Frame::Refused {
@@ -59,7 +59,7 @@
                 report: core.report(),
             });
         }
-        Arrival::Failed(failure) => return single(&Frame::Failed { failure }),
+        AdmitOutcome::Failed(failure) => return single(&Frame::Failed { failure }),
     };
     let (sender, receiver) = mpsc::channel(FRAME_BUFFER);
     actix_rt::spawn(forward(core, order, permit, sender));
@@ -75,7 +75,7 @@
     request: HttpRequest,
     id: web::Path<String>,
 ) -> HttpResponse {
-    if !is_member(&core, &request) {
+    if !is_authorized(&core, &request) {
         return HttpResponse::Forbidden().finish();
     }
     match id.parse::<RequestId>() {
@@ -86,7 +86,7 @@
 }
 
 async fn inquiry(core: web::Data<Core>, request: HttpRequest, body: Bytes) -> HttpResponse {
-    if !is_member(&core, &request) {
+    if !is_authorized(&core, &request) {
         return HttpResponse::Forbidden().finish();
     }
     match postcard::from_bytes::<HeldClaim>(&body) {
@@ -99,7 +99,7 @@
 }
 
 async fn demand(core: web::Data<Core>, request: HttpRequest, body: Bytes) -> HttpResponse {
-    if !is_member(&core, &request) {
+    if !is_authorized(&core, &request) {
         return HttpResponse::Forbidden().finish();
     }
     match postcard::from_bytes::<DemandOrder>(&body) {
@@ -109,7 +109,7 @@
 }
 
 async fn news(core: web::Data<Core>, request: HttpRequest, body: Bytes) -> HttpResponse {
-    if !is_member(&core, &request) {
+    if !is_authorized(&core, &request) {
         return HttpResponse::Forbidden().finish();
     }
     match postcard::from_bytes::<UpdateRequest>(&body) {
@@ -122,11 +122,11 @@
 }
 
 async fn announce(core: web::Data<Core>, state: web::Json<EngineState>) -> HttpResponse {
-    core.engine_announced(state.into_inner());
+    core.update_engine(state.into_inner());
     HttpResponse::NoContent().finish()
 }
 
-fn is_member(core: &Core, request: &HttpRequest) -> bool {
+fn is_authorized(core: &Core, request: &HttpRequest) -> bool {
     let header = request.headers().get(AUTHORIZATION);
     core.token().admits(header.map(|h| h.as_bytes()))
 }
--- a/app/src/agent/slot.rs
+++ b/app/src/agent/slot.rs
@@ -1,4 +1,4 @@
-//! The upstream in an agent's slot, with its gate and its ledger of claims.
+//! The upstream of an agent, with its gate and its ledger of claims.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -12,42 +12,42 @@
 
 use super::permit::Permit;
 
-/// Cache events kept for entries that have not asked for them yet.
+/// Maximum number of cache events kept for entries to request.
 const MAX_EVENTS: usize = 4096;
 
-/// What becomes of a request that arrives.
-pub(super) enum Arrival {
-    /// It is passed on.
+/// Outcome of the admission of a request.
+pub(super) enum AdmitOutcome {
+    /// The request is forwarded.
     Admitted(Permit),
-    /// It ran before; its answer is given again.
-    Ran(Arc<Outcome>),
-    /// It did not run, and will not.
+    /// The request ran before; its stored answer is sent.
+    Replayed(Arc<Outcome>),
+    /// The request did not run here, and will not.
     Refused(Failure),
-    /// It may have run.
+    /// The request is running or may have run.
     Failed(Failure),
 }
 
-/// The upstream in the agent's slot.
+/// The upstream of the agent.
 pub(super) struct Slot {
     pub(super) ledger: AgentLedger,
     pub(super) engine: EngineState,
     pub(super) gate: Gate,
     pub(super) revision: Revision,
-    /// Incarnation under which the directory knows this start of the upstream.
+    /// Incarnation under which the directory lists the current start of the upstream.
     pub(super) alias: Incarnation,
     pub(super) events: VecDeque<CacheEvent>,
-    /// Latest death that is suspected.
-    pub(super) death: Death,
+    /// Latest suspected crash.
+    pub(super) suspected: SuspectedCrash,
 }
 
-/// Death of an upstream that a broken connection may mean.
+/// Crash of an upstream that a broken connection may indicate.
 #[derive(Clone, Default)]
-pub(super) struct Death {
-    /// Start that may have ended.
+pub(super) struct SuspectedCrash {
+    /// Incarnation that may have crashed.
     pub(super) incarnation: Incarnation,
-    /// Whether the death has been reported.
+    /// Initialized once the crash has been reported.
     pub(super) reported: Arc<OnceCell<()>>,
-    /// Contents that were running.
+    /// Fingerprints of the requests that were running.
     pub(super) suspects: Vec<Fingerprint>,
 }
 
@@ -72,12 +72,12 @@
             revision,
             alias: Incarnation::default(),
             events: engine.cache.iter().copied().collect(),
-            death: Death::default(),
+            suspected: SuspectedCrash::default(),
             engine,
         }
     }
 
-    /// Takes in what the upstream says of itself.
+    /// Applies an announcement of the upstream; a later start counts as a restart.
     pub(super) fn update(&mut self, mut engine: EngineState, now: Time) {
         let events = std::mem::take(&mut engine.cache);
         if engine.started > self.engine.started {
@@ -93,14 +93,14 @@
         self.events.drain(..excess);
         self.engine = engine;
     }
-    /// Enters a claim into the ledger; none if the request is to run.
-    pub(super) fn begin_claim(&mut self, order: &WorkOrder, now: Time) -> Option<Arrival> {
+    /// Enters a claim into the ledger; returns `None` if the request is to run.
+    pub(super) fn begin_claim(&mut self, order: &WorkOrder, now: Time) -> Option<AdmitOutcome> {
         if order.idempotent {
             return None;
         }
         let Some(held) = &order.claim else {
-            let detail = "a request that may run only once needs a claim";
-            return Some(Arrival::Refused(Failure::new(
+            let detail = "a request that is not idempotent needs a claim";
+            return Some(AdmitOutcome::Refused(Failure::new(
                 ErrorKind::InvalidRequest,
                 detail,
             )));
@@ -108,17 +108,17 @@
         match self.ledger.begin(held.claim, &held.place, now) {
             Begin::Run => None,
             Begin::NotRun(reason) => {
-                let detail = format!("the claim will not run here: {reason:?}");
-                Some(Arrival::Refused(Failure::new(
+                let detail = format!("the claim is rejected here: {reason:?}");
+                Some(AdmitOutcome::Refused(Failure::new(
                     ErrorKind::NoUpstream,
                     detail,
                 )))
             }
-            Begin::Running => Some(Arrival::Failed(running_already())),
-            Begin::Finished(outcome) => Some(Arrival::Ran(outcome)),
+            Begin::Running => Some(AdmitOutcome::Failed(already_running())),
+            Begin::Finished(outcome) => Some(AdmitOutcome::Replayed(outcome)),
             Begin::Lost => {
                 let detail = "the claim may have run here";
-                Some(Arrival::Failed(Failure::new(
+                Some(AdmitOutcome::Failed(Failure::new(
                     ErrorKind::OutcomeUnknown,
                     detail,
                 )))
@@ -126,17 +126,17 @@
         }
     }
 
-    /// Records how a claimed request ended.
-    pub(super) fn finish_claim(&mut self, order: &WorkOrder, end: Conclusion, now: Time) {
+    /// Records the conclusion of a claimed request.
+    pub(super) fn finish_claim(&mut self, order: &WorkOrder, conclusion: Conclusion, now: Time) {
         if let Some(held) = &order.claim {
-            self.ledger.finish(held.claim, end, now);
+            self.ledger.finish(held.claim, conclusion, now);
         }
     }
 
-    /// Admits a request or says why not.
+    /// Admits a request for the current incarnation or its alias.
     pub(super) fn admit(&mut self, order: &WorkOrder, now: Time) -> Result<GatePermit, Failure> {
-        let known = [Incarnation(self.engine.started), self.alias];
-        if !known.contains(&order.incarnation) {
+        let accepted = [Incarnation(self.engine.started), self.alias];
+        if !accepted.contains(&order.incarnation) {
             return Err(Failure::new(
                 ErrorKind::NoUpstream,
                 "the upstream has restarted",
@@ -151,9 +151,12 @@
     }
 }
 
-/// Refusal of a request that was passed on before.
-pub(super) fn running_already() -> Failure {
-    Failure::new(ErrorKind::StillRunning, "the request runs here already")
+/// Failure of a duplicate of a running request.
+pub(super) fn already_running() -> Failure {
+    Failure::new(
+        ErrorKind::StillRunning,
+        "the request is already running here",
+    )
 }
 
 fn admission(order: &WorkOrder) -> Admission {
