--- a/app/src/entry/attempt.rs
+++ b/app/src/entry/attempt.rs
@@ -10,12 +10,12 @@
 use pimentotide_routing::AttemptOutcome;
 
 use super::core::Core;
-use super::placing::{Flight, Placed};
+use super::placing::{InFlight, Placed};
 use super::resolve::Job;
 use super::trial;
 
-/// Silence after which an attempt at an ejected upstream is given up.
-const STALL_SILENCE: Duration = Duration::from_secs(1);
+/// Time without progress after which an attempt at an ejected upstream is cancelled.
+const STALL_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Head of an upstream's answer.
 #[derive(Clone, Debug)]
@@ -24,7 +24,7 @@
     pub(super) headers: Vec<(String, String)>,
 }
 
-/// An attempt whose answer has begun; cancels itself when dropped unfinished.
+/// One attempt; cancels itself at the agent when dropped unfinished.
 pub(super) struct Attempt {
     frames: Option<FrameStream>,
     client: WorkClient,
@@ -33,21 +33,21 @@
     id: RequestId,
     idempotent: bool,
     core: Arc<Core>,
-    /// What to report if the agent is lost.
-    loss: Crash,
-    flight: Option<Flight>,
+    /// Crash to report if the agent fails.
+    crash: Crash,
+    in_flight: Option<InFlight>,
 }
 
-/// What an attempt yields next.
+/// Part of an answer.
 pub(super) enum Step {
     /// The next piece of the answer.
     Piece(bytes::Bytes),
-    /// The answer is whole.
+    /// The answer is complete.
     End,
 }
 
 impl Head {
-    /// Whether server-sent events follow.
+    /// Whether the body is a stream of server-sent events.
     pub(super) fn is_event_stream(&self) -> bool {
         self.headers
             .iter()
@@ -65,23 +65,23 @@
         number: u32,
         resume: u64,
     ) -> Result<(Head, Self), Failure> {
-        let order = order(core, job, &placed, number, resume);
+        let order = work_order(core, job, &placed, number, resume);
         let mut attempt = Self {
             frames: None,
             client: client.clone(),
             id: job.meta.id,
             idempotent: job.meta.idempotent,
             core: Arc::clone(core),
-            loss: trial::loss(core, job, &placed),
+            crash: trial::agent_crash(core, job, &placed),
             upstream: placed.upstream,
             agent: placed.agent,
-            flight: Some(placed.flight),
+            in_flight: Some(placed.in_flight),
         };
         match attempt.send(&order).await? {
             Frame::Head {
                 status, headers, ..
             } => Ok((Head { status, headers }, attempt)),
-            _ => Err(attempt.out_of_order()),
+            _ => Err(attempt.unexpected_frame()),
         }
     }
 
@@ -89,8 +89,8 @@
     pub(super) async fn next(&mut self) -> Result<Step, Failure> {
         match self.watched_frame().await? {
             Frame::Piece { data, .. } => {
-                if let Some(flight) = &mut self.flight {
-                    flight.progress();
+                if let Some(in_flight) = &mut self.in_flight {
+                    in_flight.record_piece();
                 }
                 Ok(Step::Piece(data))
             }
@@ -98,7 +98,7 @@
                 self.finish(AttemptOutcome::Good);
                 Ok(Step::End)
             }
-            _ => Err(self.out_of_order()),
+            _ => Err(self.unexpected_frame()),
         }
     }
 
@@ -106,50 +106,53 @@
         let client = self.client.clone();
         match client.send(self.agent, order).await {
             Ok(frames) => self.frames = Some(frames),
-            Err(e) => return Err(self.lost(&e).await),
+            Err(e) => return Err(self.agent_failed(&e).await),
         }
         self.watched_frame().await
     }
 
-    /// Waits for a frame, unless the upstream is ejected and nothing comes.
+    /// Waits for a frame, or fails once the upstream is ejected and sends nothing.
     async fn watched_frame(&mut self) -> Result<Frame, Failure> {
-        let Some(stalled) = self.flight.as_ref().map(|f| Arc::clone(&f.stalled)) else {
-            return Err(self.out_of_order());
+        let Some(stalled) = self.in_flight.as_ref().map(|f| Arc::clone(&f.stalled)) else {
+            return Err(self.unexpected_frame());
         };
         loop {
             tokio::select! {
                 frame = self.next_frame() => match frame {
-                    Ok(Frame::Alive) => self.alive(),
+                    Ok(Frame::Alive) => self.record_activity(),
                     frame => return frame,
                 },
-                () = stalled.notified() => if self.is_silent() {
+                () = stalled.notified() => if self.is_stalled() {
                     self.finish(AttemptOutcome::Cancelled);
-                    return Err(Failure::new(ErrorKind::UpstreamFailed, "no progress"));
+                    return Err(Failure::new(ErrorKind::UpstreamFailed, "the upstream stalled"));
                 },
             }
         }
     }
 
-    fn alive(&mut self) {
-        if let Some(flight) = &mut self.flight {
-            flight.alive();
+    fn record_activity(&mut self) {
+        if let Some(in_flight) = &mut self.in_flight {
+            in_flight.record_activity();
         }
     }
 
-    /// Whether nothing has come for long of a request that may run elsewhere.
-    fn is_silent(&self) -> bool {
-        let silence = self.flight.as_ref().map(Flight::silence);
-        self.idempotent && silence.is_some_and(|s| s >= STALL_SILENCE)
+    /// Whether a request that may run elsewhere has made no progress within the timeout.
+    fn is_stalled(&self) -> bool {
+        let idle = self.in_flight.as_ref().map(InFlight::idle_time);
+        self.idempotent && idle.is_some_and(|t| t >= STALL_TIMEOUT)
     }
 
-    /// Refusals and failures of the agent come back as errors.
+    /// Returns refusals and failures of the agent as errors.
     async fn next_frame(&mut self) -> Result<Frame, Failure> {
         let Some(frames) = &mut self.frames else {
-            return Err(Failure::new(ErrorKind::Internal, "no answer is under way"));
+            return Err(Failure::new(
+                ErrorKind::Internal,
+                "no answer is in progress",
+            ));
         };
         let frame = match frames.next_frame().await {
             Ok(frame) => frame,
-            Err(e) => return Err(self.lost(&e).await),
+            Err(e) => return Err(self.agent_failed(&e).await),
         };
         match frame {
             Frame::Refused { failure, report } => {
@@ -168,42 +171,42 @@
         }
     }
 
-    /// Tells of an agent that gave no answer, once its loss is recorded.
-    async fn lost(&mut self, error: &WorkError) -> Failure {
+    /// Returns the failure of an agent that did not answer, after recording the possible crash.
+    async fn agent_failed(&mut self, error: &WorkError) -> Failure {
         self.finish(AttemptOutcome::Failed);
         let failure = work_failure(error);
         if failure.ran != Ran::No {
-            trial::report_loss(&self.core, self.loss.clone()).await;
+            trial::report_crash(&self.core, self.crash.clone()).await;
         }
         failure
     }
 
     fn report(&self, report: &LoadReport) {
-        if let Some(flight) = &self.flight {
-            flight.report(&self.upstream, report);
+        if let Some(in_flight) = &self.in_flight {
+            in_flight.report(&self.upstream, report);
         }
     }
 
-    fn finish(&mut self, verdict: AttemptOutcome) {
-        if let Some(flight) = self.flight.take() {
-            flight.finish(verdict);
+    fn finish(&mut self, outcome: AttemptOutcome) {
+        if let Some(in_flight) = self.in_flight.take() {
+            in_flight.finish(outcome);
         }
     }
 
-    fn out_of_order(&self) -> Failure {
-        let detail = format!("the agent of {} sent a frame out of order", self.upstream);
+    fn unexpected_frame(&self) -> Failure {
+        let detail = format!("the agent of {} sent an unexpected frame", self.upstream);
         Failure::new(ErrorKind::UpstreamFailed, detail)
     }
 }
 
 impl Drop for Attempt {
     fn drop(&mut self) {
-        if self.flight.is_none() {
+        if self.in_flight.is_none() {
             return;
         }
         let (client, agent, id) = (self.client.clone(), self.agent, self.id);
         actix_rt::spawn(async move {
-            // The agent also notices when the connection closes.
+            // The agent also cancels the request when the connection closes.
             if let Err(e) = client.cancel(agent, id).await {
                 log::debug!("cancelling {id} at {agent} failed: {e}");
             }
@@ -211,7 +214,8 @@
     }
 }
 
-pub(super) fn order(
+/// Builds the work order of attempt `number`, to resume at piece `resume`.
+pub(super) fn work_order(
     core: &Core,
     job: &Job,
     placed: &Placed,
--- a/app/src/entry/core.rs
+++ b/app/src/entry/core.rs
@@ -22,30 +22,31 @@
 use super::resolve::{Job, resolve};
 use super::waiting::Waiting;
 
-/// One entry.
+/// Shared state of one entry.
 pub(super) struct Core {
     options: EntryOptions,
     clock: Clock,
     inner: Mutex<Inner>,
 }
 
-/// What the threads of an entry share.
+/// State of an entry that its mutex guards.
 pub(super) struct Inner {
     pub(super) placer: Placer,
     pub(super) budget: RetryBudget,
     pub(super) queues: BTreeMap<ServiceName, FairQueue<Waiting>>,
-    /// Services for which each upstream's agent is being asked for credits.
-    pub(super) asked: BTreeMap<UpstreamName, BTreeSet<ServiceName>>,
-    /// Wakes the attempts at an upstream that has been ejected.
+    /// Services for which credits are requested from each upstream's agent.
+    pub(super) demanded: BTreeMap<UpstreamName, BTreeSet<ServiceName>>,
+    /// Notifies the attempts at an upstream when it is ejected.
     pub(super) stalls: BTreeMap<UpstreamName, Arc<Notify>>,
     pub(super) entries: Vec<EntryState>,
-    /// Memory of claims that each agent said it has.
+    /// Ledger epoch reported by each agent.
     pub(super) epochs: BTreeMap<UpstreamName, LedgerEpoch>,
-    /// Contents under suspicion of crashing upstreams.
+    /// Fingerprints of requests suspected of crashing upstreams.
     pub(super) suspects: BTreeSet<Fingerprint>,
-    known: Arc<BTreeMap<UpstreamName, Announcement>>,
+    /// Announcements that the placer has received.
+    announced: Arc<BTreeMap<UpstreamName, Announcement>>,
     running: usize,
-    leaving: bool,
+    draining: bool,
 }
 
 /// Counts a request as running until it is dropped.
@@ -65,14 +66,14 @@
             placer: Placer::open(settings),
             budget: RetryBudget::default(),
             queues: BTreeMap::new(),
-            asked: BTreeMap::new(),
+            demanded: BTreeMap::new(),
             stalls: BTreeMap::new(),
             entries: states.collect(),
             epochs: BTreeMap::new(),
             suspects: BTreeSet::new(),
-            known: Arc::default(),
+            announced: Arc::default(),
             running: 0,
-            leaving: false,
+            draining: false,
         };
         Self {
             options,
@@ -110,29 +111,29 @@
         self.lock().running
     }
 
-    pub(super) fn is_leaving(&self) -> bool {
-        self.lock().leaving
+    pub(super) fn is_draining(&self) -> bool {
+        self.lock().draining
     }
 
-    /// Refuses new requests from now on.
-    pub(super) fn leave(&self) {
-        self.lock().leaving = true;
+    /// Refuses all new requests.
+    pub(super) fn drain(&self) {
+        self.lock().draining = true;
     }
 
-    /// Takes a request in.
+    /// Resolves a request and counts it as running; fails while draining.
     pub(super) fn accept(self: &Arc<Self>, call: Call) -> Result<(Job, Running), Failure> {
         let view = self.view();
         let workspace = self.options.settings.workspace.as_ref();
         let job = resolve(call, workspace, &view.declarations, self.now())?;
         let mut inner = self.lock();
-        if inner.leaving {
+        if inner.draining {
             return Err(Failure::new(ErrorKind::Stopping, "this entry is stopping"));
         }
         inner.running += 1;
         Ok((job, Running(Arc::clone(self))))
     }
 
-    /// Puts the latest configuration and membership into force.
+    /// Applies the latest configuration and membership.
     pub(super) fn refresh(&self) {
         let view = self.view();
         let mut inner = self.lock();
@@ -144,27 +145,30 @@
                 }
             }
         }
-        let known = Arc::clone(&inner.known);
+        let announced = Arc::clone(&inner.announced);
         for (name, announcement) in view.upstreams.iter() {
-            if known.get(name) != Some(announcement) {
+            if announced.get(name) != Some(announcement) {
                 inner.placer.announce(announcement.clone());
             }
         }
-        for name in known.keys().filter(|n| !view.upstreams.contains_key(*n)) {
+        for name in announced
+            .keys()
+            .filter(|n| !view.upstreams.contains_key(*n))
+        {
             inner.placer.remove_upstream(name);
             inner.stalls.remove(name);
             inner.epochs.remove(name);
         }
-        inner.known = Arc::clone(&view.upstreams);
+        inner.announced = Arc::clone(&view.upstreams);
     }
 
-    /// Takes the load that an agent reported.
+    /// Applies a load report of an agent.
     pub(super) fn observe_report(&self, upstream: &UpstreamName, report: &LoadReport) {
         let now = self.now();
         self.lock().placer.observe_report(upstream, report, now);
     }
 
-    /// Gives a booking back.
+    /// Releases a booking and records its outcome.
     pub(super) fn finish(&self, ticket: Ticket, meta: &RequestMeta, done: &Finished) {
         let now = self.now();
         let mut inner = self.lock();
@@ -174,21 +178,21 @@
         }
     }
 
-    /// Notes an answer in full, which earns a part of a retry.
-    pub(super) fn succeeded(&self, meta: &RequestMeta, policy: &RetryPolicy) {
+    /// Records a complete answer, which adds to the retry budget.
+    pub(super) fn record_success(&self, meta: &RequestMeta, policy: &RetryPolicy) {
         let now = self.now();
         self.lock()
             .budget
             .success(&meta.service, &meta.workspace, policy, now);
     }
 
-    /// Whether a content is under suspicion of crashing upstreams.
+    /// Whether requests with this content are suspected of crashing upstreams.
     pub(super) fn is_suspect(&self, content: &Fingerprint) -> bool {
         self.lock().suspects.contains(content)
     }
 
-    /// Pause before another attempt; none if there may be no other.
-    pub(super) fn may_retry(&self, job: &Job, attempt: u32) -> Option<Duration> {
+    /// Delay before the next attempt; `None` if the retry is denied.
+    pub(super) fn retry_delay(&self, job: &Job, attempt: u32) -> Option<Duration> {
         let failed = FailedAttempt {
             service: &job.meta.service,
             workspace: &job.meta.workspace,
@@ -202,34 +206,34 @@
             .budget
             .decide(&failed, self.now(), &mut rand::rng())
         {
-            Retry::After(pause) => Some(pause),
+            Retry::After(delay) => Some(delay),
             Retry::Denied(_) => None,
         }
     }
 
-    /// Names the entries that a caller in `zone` should use.
+    /// Returns the entries that a caller in `zone` should use.
     pub(super) fn advice(&self, zone: Option<&str>) -> EntryAdvice {
         let near = zone.map_or_else(|| self.options.zone.clone(), ZoneName::from);
         let view = self.view();
         let now = self.now();
         let inner = self.lock();
         let mut entries = inner.entries.clone();
-        // This entry answers, so it is alive.
+        // This entry is answering, so it is alive.
         for own in entries
             .iter_mut()
             .filter(|e| e.instance == self.options.instance)
         {
             own.last_seen = now;
-            own.stopping = inner.leaving;
+            own.stopping = inner.draining;
         }
-        let standing = |zone: &ZoneName| {
+        let admin_state = |zone: &ZoneName| {
             view.declarations
                 .zones
                 .get(zone)
                 .copied()
                 .unwrap_or(AdminState::In)
         };
-        let advice = advise(Some(&near), &entries, standing, now, &mut rand::rng());
+        let advice = advise(Some(&near), &entries, admin_state, now, &mut rand::rng());
         let addresses = advice.addresses.iter().filter_map(|address| {
             let entry = entries.iter().find(|e| e.address == *address)?;
             Some((address.parse().ok()?, entry.zone.clone()))
@@ -241,7 +245,7 @@
         }
     }
 
-    /// Names the models in service.
+    /// Returns the models of all declared services.
     pub(super) fn models(&self) -> Vec<ModelName> {
         let view = self.view();
         let declared = view.declarations.services.keys();
@@ -256,8 +260,8 @@
 }
 
 impl Inner {
-    /// Wakes when the upstream has been ejected.
-    pub(super) fn stall_of(&mut self, upstream: &UpstreamName) -> Arc<Notify> {
+    /// Returns the signal that is notified when the upstream is ejected.
+    pub(super) fn stall_signal(&mut self, upstream: &UpstreamName) -> Arc<Notify> {
         Arc::clone(self.stalls.entry(upstream.clone()).or_default())
     }
 }
--- a/app/src/entry/decision.rs
+++ b/app/src/entry/decision.rs
@@ -1,11 +1,11 @@
-//! One log line for each routing decision.
+//! Log line of each routing decision.
 
 use pimentotide_model::{RequestMeta, Revision};
 
 use super::placing::Placed;
 use crate::lines::{Considered, Routed};
 
-/// Logs where a request goes.
+/// Logs the placement of a request.
 pub(super) fn log_placed(meta: &RequestMeta, profile: &str, attempt: u32, placed: &Placed) {
     let considered = placed.candidates.iter().map(|c| Considered {
         upstream: &c.upstream,
@@ -25,7 +25,7 @@
     pimentotide_observe::event(&line);
 }
 
-/// Logs that a request goes nowhere.
+/// Logs that a request was not placed.
 pub(super) fn log_refused(
     meta: &RequestMeta,
     profile: &str,
--- a/app/src/entry/dispatch.rs
+++ b/app/src/entry/dispatch.rs
@@ -1,4 +1,4 @@
-//! Runs callers' requests.
+//! Runs callers' requests and counts their outcomes.
 
 use std::sync::Arc;
 
@@ -12,7 +12,7 @@
 use super::once;
 use super::relay::Relay;
 
-/// Runs the requests of one thread.
+/// Runs the requests that one thread accepts.
 #[derive(Clone)]
 pub(super) struct Dispatcher {
     core: Arc<Core>,
@@ -26,7 +26,10 @@
 
     async fn run(self, call: Call) -> Result<Answer, Failure> {
         let keyed = call.key.is_some();
-        let (job, running) = self.core.accept(call).map_err(|f| unproved(f, keyed))?;
+        let (job, running) = self
+            .core
+            .accept(call)
+            .map_err(|f| mark_ran_unknown(f, keyed))?;
         let service = job.meta.service.clone();
         let core = Arc::clone(&self.core);
         let answer = if job.meta.idempotent {
@@ -57,7 +60,7 @@
     fn health(&self) -> Health {
         Health {
             instance: self.core.name().clone(),
-            stopping: self.core.is_leaving(),
+            stopping: self.core.is_draining(),
         }
     }
 
@@ -76,7 +79,7 @@
             body: AnswerBody::Events(pieces(relay)),
         });
     }
-    let (head, body) = relay.whole(head).await?;
+    let (head, body) = relay.collect(head).await?;
     let (status, headers) = (head.status, head.headers);
     Ok(Answer {
         status,
@@ -97,8 +100,8 @@
     Box::pin(pieces)
 }
 
-/// A key may have run through another entry before this one refused it.
-fn unproved(failure: Failure, keyed: bool) -> Failure {
+/// Marks a keyed request refused by a stopping entry, since another entry may have run its key.
+fn mark_ran_unknown(failure: Failure, keyed: bool) -> Failure {
     if keyed && failure.kind == ErrorKind::Stopping {
         return failure.with_ran(Ran::Unknown);
     }
--- a/app/src/entry/mod.rs
+++ b/app/src/entry/mod.rs
@@ -1,8 +1,8 @@
-//! Role of the entry: answers callers and places their requests.
+//! Role of the entry: accepts callers' requests and places them at upstreams.
 //!
 //! Each thread that serves callers has a [`Dispatcher`]; all share one [`Core`]
 //! with the placement state of this instance. A request is resolved against the
-//! declarations, placed, sent to an agent and relayed back piece by piece.
+//! declarations, placed and sent to an agent; its answer is relayed piece by piece.
 
 mod attempt;
 mod core;
@@ -32,10 +32,10 @@
 use self::dispatch::Dispatcher;
 use crate::settings::{EntrySettings, Peer};
 
-/// Time between looks at whether all running requests have ended.
-const DRAIN_POLL: Duration = Duration::from_millis(20);
+/// Interval between checks for running requests during a drain.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What an entry needs to run.
+/// Options of an entry.
 pub struct EntryOptions {
     /// Name of this instance.
     pub instance: InstanceName,
@@ -47,9 +47,9 @@
     pub entries: Vec<Peer>,
     /// Secret of the deployment.
     pub token: Token,
-    /// Configuration and membership as this process learns them.
+    /// Latest configuration and membership received by this process.
     pub view: watch::Receiver<View>,
-    /// Control replicas, which keep claims; none in a deployment without control.
+    /// Submits claims to control; `None` in a deployment without control.
     pub control: Option<Submitter>,
     /// Metrics of the process.
     pub metrics: Metrics,
@@ -98,17 +98,17 @@
         self.server.address()
     }
 
-    /// Takes no new requests, lets running ones end, and stops.
+    /// Refuses new requests, waits for running ones up to the drain time, and stops.
     pub async fn stop(self) {
-        self.core.leave();
-        let ended = tokio::time::timeout(self.drain, async {
+        self.core.drain();
+        let drained = tokio::time::timeout(self.drain, async {
             while self.core.running() > 0 {
-                tokio::time::sleep(DRAIN_POLL).await;
+                tokio::time::sleep(DRAIN_POLL_INTERVAL).await;
             }
         });
-        if ended.await.is_err() {
+        if drained.await.is_err() {
             log::warn!(
-                "{} requests cut short at the end of the drain time",
+                "{} requests aborted at the end of the drain time",
                 self.core.running()
             );
         }
--- a/app/src/entry/once.rs
+++ b/app/src/entry/once.rs
@@ -1,8 +1,8 @@
 //! Runs a request that may run at most once.
 //!
-//! The decisions are those of [`Attempt`]: claim, send, inquire, settle. This
-//! module carries them out. The work goes on when the caller goes away, since
-//! its effect cannot be taken back.
+//! [`Attempt`] decides when to claim, send, inquire and settle; this module
+//! executes its actions. The request continues after the caller disconnects,
+//! since its effect cannot be undone.
 
 use std::cell::RefCell;
 use std::pin::Pin;
@@ -17,31 +17,31 @@
 use pimentotide_instance::work::{Frame, FrameStream, HeldClaim, UpdateRequest, WorkClient};
 use pimentotide_model::{ErrorKind, Failure, Ran, UpstreamName};
 use pimentotide_outcome::{
-    Action, Answer as Verdict, Attempt, Blob, Body, ClaimRef, Event, Intent, LedgerEpoch, NotRun,
-    Outcome, Place, generated_key,
+    Action, Answer as AttemptAnswer, Attempt, Blob, Body, ClaimRef, Event, Intent, LedgerEpoch,
+    NotRun, Outcome, Place, generated_key,
 };
-use pimentotide_routing::AttemptOutcome as Flown;
+use pimentotide_routing::AttemptOutcome;
 use tokio::sync::oneshot;
 
-use super::attempt::order;
+use super::attempt::work_order;
 use super::core::{Core, Running};
 use super::decision::{log_placed, log_refused};
 use super::placing::{self, Placed};
 use super::resolve::Job;
 
-/// Time allowed for one proposal.
+/// Timeout of committing one command.
 const PROPOSE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// What the attempt waits for.
+/// Future of the event that the attempt waits for.
 type Step = Pin<Box<dyn Future<Output = Event>>>;
 
 /// One request that may run at most once.
-struct Once {
+struct AtMostOnce {
     core: Arc<Core>,
     client: WorkClient,
     control: Submitter,
     job: Job,
-    /// Place of the current attempt, until it is sent.
+    /// Placement of the current attempt; taken when it is sent.
     placed: RefCell<Option<Placed>>,
     tried: RefCell<Vec<UpstreamName>>,
 }
@@ -54,11 +54,11 @@
     running: Running,
 ) -> Result<Answer, Failure> {
     let Some(control) = core.control().cloned() else {
-        let detail = "a request that may run only once needs a control replica";
+        let detail = "a request that is not idempotent needs a control replica";
         return Err(Failure::new(ErrorKind::NoQuorum, detail).with_ran(Ran::No));
     };
     let (placed, tried) = (RefCell::default(), RefCell::default());
-    let once = Rc::new(Once {
+    let request = Rc::new(AtMostOnce {
         core,
         client,
         control,
@@ -68,73 +68,73 @@
     });
     let (sender, receiver) = oneshot::channel();
     actix_rt::spawn(async move {
-        drive(once, sender).await;
+        drive(request, sender).await;
         drop(running);
     });
-    let lost = || {
+    let unknown = || {
         Failure::new(
             ErrorKind::OutcomeUnknown,
             "the request ended without an answer",
         )
     };
-    match receiver.await.map_err(|_| lost())? {
-        Verdict::Outcome(outcome) => Ok(answer(&outcome)),
-        Verdict::Failure(failure) => Err(failure),
+    match receiver.await.map_err(|_| unknown())? {
+        AttemptAnswer::Outcome(outcome) => Ok(answer(&outcome)),
+        AttemptAnswer::Failure(failure) => Err(failure),
     }
 }
 
-/// Carries the attempt to its end.
-async fn drive(once: Rc<Once>, caller: oneshot::Sender<Verdict>) {
+/// Runs the attempt until it is closed.
+async fn drive(request: Rc<AtMostOnce>, caller: oneshot::Sender<AttemptAnswer>) {
     let mut caller = Some(caller);
-    let (mut attempt, actions) = Attempt::open(intent(&once.job));
-    let mut step = once.carry_out(actions, &mut caller);
-    let mut late = false;
+    let (mut attempt, actions) = Attempt::open(intent(&request.job));
+    let mut step = request.execute(actions, &mut caller);
+    let mut deadline_passed = false;
     while let Some(waiting) = &mut step {
-        let deadline = once.job.meta.deadline.since(once.core.now());
+        let deadline = request.job.meta.deadline.since(request.core.now());
         let event = tokio::select! {
             event = waiting => event,
-            () = gone(&mut caller) => Event::CallerGone,
-            () = tokio::time::sleep(deadline), if !late => Event::DeadlinePassed,
+            () = disconnected(&mut caller) => Event::CallerGone,
+            () = tokio::time::sleep(deadline), if !deadline_passed => Event::DeadlinePassed,
         };
         let interrupted = matches!(event, Event::CallerGone | Event::DeadlinePassed);
-        late |= event == Event::DeadlinePassed;
+        deadline_passed |= event == Event::DeadlinePassed;
         if event == Event::CallerGone {
             caller = None;
         }
-        let actions = attempt.on(event, once.core.now());
-        let next = once.carry_out(actions, &mut caller);
+        let actions = attempt.on(event, request.core.now());
+        let next = request.execute(actions, &mut caller);
         if next.is_some() || !interrupted || attempt.is_closed() {
             step = next;
         }
     }
 }
 
-/// Completes when the caller no longer waits; never once it has been answered.
-async fn gone(caller: &mut Option<oneshot::Sender<Verdict>>) {
+/// Completes when the caller disconnects; never once it has been answered.
+async fn disconnected(caller: &mut Option<oneshot::Sender<AttemptAnswer>>) {
     match caller {
         Some(caller) => caller.closed().await,
         None => std::future::pending().await,
     }
 }
 
-impl Once {
-    /// Carries actions out; returns what to wait for next.
-    fn carry_out(
+impl AtMostOnce {
+    /// Executes actions; returns the next event to wait for.
+    fn execute(
         self: &Rc<Self>,
         actions: Vec<Action>,
-        caller: &mut Option<oneshot::Sender<Verdict>>,
+        caller: &mut Option<oneshot::Sender<AttemptAnswer>>,
     ) -> Option<Step> {
         let mut step = None;
         for action in actions {
             match action {
                 Action::Answer(answer) => {
                     if let Some(caller) = caller.take() {
-                        // A caller that went away needs no answer.
+                        // The caller may have disconnected.
                         let _ = caller.send(answer);
                     }
                 }
                 Action::Finish => {}
-                work => step = Some(Rc::clone(self).step(work)),
+                action => step = Some(Rc::clone(self).step(action)),
             }
         }
         step
@@ -165,7 +165,7 @@
         };
         log_placed(&self.job.meta, profile, attempt, &placed);
         self.tried.borrow_mut().push(placed.upstream.clone());
-        let Some(epoch) = self.epoch_of(&placed).await else {
+        let Some(epoch) = self.ledger_epoch(&placed).await else {
             let detail = "the agent does not answer";
             return Event::NoPlace(Failure::new(ErrorKind::NoUpstream, detail));
         };
@@ -178,11 +178,11 @@
         })
     }
 
-    /// Memory of claims that the agent has, asked for if not known.
-    async fn epoch_of(&self, placed: &Placed) -> Option<LedgerEpoch> {
-        let known = self.core.lock().epochs.get(&placed.upstream).copied();
-        if known.is_some() {
-            return known;
+    /// Returns the cached ledger epoch of the agent, or requests it.
+    async fn ledger_epoch(&self, placed: &Placed) -> Option<LedgerEpoch> {
+        let cached = self.core.lock().epochs.get(&placed.upstream).copied();
+        if cached.is_some() {
+            return cached;
         }
         let order = UpdateRequest {
             incarnation: placed.incarnation,
@@ -201,11 +201,11 @@
         match self.control.submit(&command, PROPOSE_TIMEOUT).await {
             Ok(Response::Outcome(reply)) => Event::Committed(reply),
             Ok(other) => {
-                log::error!("unexpected response of a control replica: {other:?}");
+                log::error!("unexpected response from a control replica: {other:?}");
                 Event::Unconfirmed
             }
             Err(e) => {
-                log::debug!("a proposal was not confirmed: {e}");
+                log::debug!("a command was not confirmed: {e}");
                 Event::Unconfirmed
             }
         }
@@ -216,7 +216,7 @@
             return Event::Broken;
         };
         let number = u32::try_from(self.tried.borrow().len()).unwrap_or(u32::MAX);
-        let mut order = order(&self.core, &self.job, &placed, number, 0);
+        let mut order = work_order(&self.core, &self.job, &placed, number, 0);
         order.claim = Some(HeldClaim {
             claim: held.claim,
             place,
@@ -226,10 +226,10 @@
             Err(e) if e.is_not_forwarded() => Event::NotRun(NotRun::Refused),
             Err(_) => Event::Broken,
         };
-        placed.flight.finish(match &event {
-            Event::Answered(_) => Flown::Good,
-            Event::NotRun(_) => Flown::Refused(None),
-            _ => Flown::Failed,
+        placed.in_flight.finish(match &event {
+            Event::Answered(_) => AttemptOutcome::Good,
+            Event::NotRun(_) => AttemptOutcome::Refused(None),
+            _ => AttemptOutcome::Failed,
         });
         event
     }
@@ -237,7 +237,7 @@
     async fn inquire(&self, held: &ClaimRef, place: Place, after: Duration) -> Event {
         tokio::time::sleep(after).await;
         let view = self.core.view();
-        // An agent that has left the directory has lost its lease and its work.
+        // An agent that is no longer in the directory has lost its lease and its requests.
         let Some(announcement) = view.upstreams.get(&place.upstream) else {
             return if view.is_current() {
                 Event::Gone
@@ -259,7 +259,7 @@
     }
 }
 
-/// Collects the frames of an answer.
+/// Collects the frames of an answer into its outcome.
 async fn collect(mut frames: FrameStream) -> Event {
     let (mut status, mut headers, mut body) = (0, Vec::new(), Vec::new());
     loop {
--- a/app/src/entry/placing.rs
+++ b/app/src/entry/placing.rs
@@ -1,4 +1,4 @@
-//! Places a request, waiting in the queue where no upstream has room.
+//! Places a request at an upstream, or queues it while no upstream has a free slot.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,44 +15,45 @@
 
 use super::core::{Core, Inner};
 use super::resolve::Job;
-use super::waiting::{Place, Waiting, ask_for_credits};
+use super::waiting::{PlaceResult, Waiting, request_credits};
 
-/// Where a request goes, and why.
+/// Placement of a request.
 pub(super) struct Placed {
-    /// Upstream that was chosen.
+    /// Chosen upstream.
     pub(super) upstream: UpstreamName,
-    /// Start of the upstream.
+    /// Incarnation of the upstream.
     pub(super) incarnation: Incarnation,
     /// Address of its agent.
     pub(super) agent: SocketAddr,
-    /// Upstreams that were considered, best first.
+    /// Candidates, best first.
     pub(super) candidates: Candidates,
-    /// Why this one.
+    /// Reason of the choice.
     pub(super) reason: Reason,
-    /// Credit to use.
+    /// Credit to redeem at the agent.
     pub(super) credit: Option<CreditId>,
-    /// Configuration in force.
+    /// Revision of the configuration in force.
     pub(super) revision: Revision,
     /// Time spent in the queue.
     pub(super) waited: Duration,
     /// Booking at the upstream.
-    pub(super) flight: Flight,
+    pub(super) in_flight: InFlight,
 }
 
-/// Counts an attempt against its upstream; cancelled unless a verdict is given.
-pub(super) struct Flight {
+/// Booking of an attempt at its upstream; ends as cancelled unless an outcome is set.
+pub(super) struct InFlight {
     core: Arc<Core>,
     meta: RequestMeta,
     ticket: Option<Ticket>,
-    sent: Time,
-    first: Option<Duration>,
+    sent_at: Time,
+    /// Time from sending to the first piece.
+    first_token: Option<Duration>,
     pieces: u32,
-    last: Time,
-    /// Wakes when the upstream has been ejected for making no progress.
+    last_activity: Time,
+    /// Notified when the upstream is ejected for making no progress.
     pub(super) stalled: Arc<Notify>,
 }
 
-/// Finds a place for a request, outside the upstreams in `tried`.
+/// Places a request at an upstream outside `tried`, after queueing if needed.
 pub(super) async fn place(
     core: &Arc<Core>,
     client: &WorkClient,
@@ -60,24 +61,24 @@
     tried: &[UpstreamName],
 ) -> Result<Placed, Failure> {
     let arrived = core.now();
-    let decision = match try_at_once(core, client, job, tried)? {
-        Attempted::Placed(decision) => *decision,
-        Attempted::Queued(place) => Waited::new(core, job, place).decision().await?,
+    let decision = match place_or_enqueue(core, client, job, tried)? {
+        Placing::Placed(decision) => *decision,
+        Placing::Queued(receiver) => QueuedRequest::new(core, job, receiver).decision().await?,
     };
-    booked(core, job, decision, core.now().since(arrived))
+    book(core, job, decision, core.now().since(arrived))
 }
 
-enum Attempted {
+enum Placing {
     Placed(Box<Decision>),
-    Queued(oneshot::Receiver<Place>),
+    Queued(oneshot::Receiver<PlaceResult>),
 }
 
-fn try_at_once(
+fn place_or_enqueue(
     core: &Arc<Core>,
     client: &WorkClient,
     job: &Job,
     tried: &[UpstreamName],
-) -> Result<Attempted, Failure> {
+) -> Result<Placing, Failure> {
     let now = core.now();
     let mut inner = core.lock();
     let queued = inner
@@ -86,11 +87,11 @@
         .is_some_and(|q| !q.is_empty());
     if !queued {
         match inner.placer.place(&job.meta, tried, now, &mut rand::rng()) {
-            Placement::Chosen(decision) => return Ok(Attempted::Placed(Box::new(decision))),
+            Placement::Chosen(decision) => return Ok(Placing::Placed(Box::new(decision))),
             Placement::Refused(failure) => return Err(failure),
             Placement::Wait(wait) => {
                 for upstream in &wait.upstreams {
-                    ask_for_credits(core, client, &mut inner, upstream, &job.meta.service);
+                    request_credits(core, client, &mut inner, upstream, &job.meta.service);
                 }
             }
         }
@@ -102,7 +103,7 @@
         sender,
     };
     enqueue(&mut inner, job, waiting, now);
-    Ok(Attempted::Queued(receiver))
+    Ok(Placing::Queued(receiver))
 }
 
 fn enqueue(inner: &mut Inner, job: &Job, waiting: Waiting, now: Time) {
@@ -120,34 +121,38 @@
     }
 }
 
-/// A request in the queue; leaves it when dropped.
-struct Waited<'a> {
+/// A queued request; removed from the queue when dropped.
+struct QueuedRequest<'a> {
     core: &'a Arc<Core>,
     job: &'a Job,
-    place: oneshot::Receiver<Place>,
+    receiver: oneshot::Receiver<PlaceResult>,
 }
 
-impl<'a> Waited<'a> {
-    fn new(core: &'a Arc<Core>, job: &'a Job, place: oneshot::Receiver<Place>) -> Self {
-        Self { core, job, place }
+impl<'a> QueuedRequest<'a> {
+    fn new(core: &'a Arc<Core>, job: &'a Job, receiver: oneshot::Receiver<PlaceResult>) -> Self {
+        Self {
+            core,
+            job,
+            receiver,
+        }
     }
 
     async fn decision(mut self) -> Result<Decision, Failure> {
-        let gone = || Failure::new(ErrorKind::Internal, "the queue was dropped");
-        (&mut self.place).await.map_err(|_| gone())?.map(|d| *d)
+        let gone = || Failure::new(ErrorKind::Internal, "the queue dropped the request");
+        (&mut self.receiver).await.map_err(|_| gone())?.map(|d| *d)
     }
 }
 
-impl Drop for Waited<'_> {
+impl Drop for QueuedRequest<'_> {
     fn drop(&mut self) {
-        self.place.close();
+        self.receiver.close();
         let now = self.core.now();
         let mut inner = self.core.lock();
         if let Some(queue) = inner.queues.get_mut(&self.job.meta.service) {
             queue.cancel(self.job.meta.id);
         }
-        // A place that was found in the meantime is not needed any more.
-        if let Ok(Ok(decision)) = self.place.try_recv() {
+        // Releases a placement that was made in the meantime.
+        if let Ok(Ok(decision)) = self.receiver.try_recv() {
             inner
                 .placer
                 .finish(decision.ticket, &self.job.meta, &cancelled(), now);
@@ -155,26 +160,31 @@
     }
 }
 
-fn booked(
+fn book(
     core: &Arc<Core>,
     job: &Job,
     decision: Decision,
     waited: Duration,
 ) -> Result<Placed, Failure> {
     let view = core.view();
-    let stalled = core.lock().stall_of(&decision.upstream);
+    let stalled = core.lock().stall_signal(&decision.upstream);
     let now = core.now();
-    let flight = Flight {
+    let in_flight = InFlight {
         core: Arc::clone(core),
         meta: job.meta.clone(),
         ticket: Some(decision.ticket),
-        sent: now,
-        first: None,
+        sent_at: now,
+        first_token: None,
         pieces: 0,
-        last: now,
+        last_activity: now,
         stalled,
     };
-    let gone = || Failure::new(ErrorKind::NoUpstream, "the upstream has left");
+    let gone = || {
+        Failure::new(
+            ErrorKind::NoUpstream,
+            "the upstream is no longer in the directory",
+        )
+    };
     let announcement = view.upstreams.get(&decision.upstream).ok_or_else(gone)?;
     let agent = announcement.address.parse().map_err(|_| {
         Failure::new(
@@ -191,52 +201,52 @@
         credit: decision.credit,
         revision: view.declarations.revision,
         waited,
-        flight,
+        in_flight,
     })
 }
 
-impl Flight {
-    /// Notes a piece of the answer.
-    pub(super) fn progress(&mut self) {
+impl InFlight {
+    /// Records a piece of the answer.
+    pub(super) fn record_piece(&mut self) {
         self.pieces += 1;
-        if self.first.is_none() {
-            self.first = Some(self.core.now().since(self.sent));
+        if self.first_token.is_none() {
+            self.first_token = Some(self.core.now().since(self.sent_at));
         }
-        self.alive();
+        self.record_activity();
     }
 
-    /// Notes that the upstream is at work.
-    pub(super) fn alive(&mut self) {
+    /// Records that the upstream is making progress.
+    pub(super) fn record_activity(&mut self) {
         let now = self.core.now();
-        self.last = now;
+        self.last_activity = now;
         if let Some(ticket) = &self.ticket {
             self.core.lock().placer.progress(ticket, now);
         }
     }
 
-    /// Time since the last piece, or since the request was sent.
-    pub(super) fn silence(&self) -> Duration {
-        self.core.now().since(self.last)
+    /// Time since the last recorded activity, or since the request was sent.
+    pub(super) fn idle_time(&self) -> Duration {
+        self.core.now().since(self.last_activity)
     }
 
-    /// Takes a load report that came with the answer.
+    /// Applies a load report received with the answer.
     pub(super) fn report(&self, upstream: &UpstreamName, report: &LoadReport) {
         self.core.observe_report(upstream, report);
     }
 
-    /// Ends the attempt.
-    pub(super) fn finish(mut self, verdict: AttemptOutcome) {
-        self.end(verdict);
+    /// Ends the attempt with `outcome`.
+    pub(super) fn finish(mut self, outcome: AttemptOutcome) {
+        self.end(outcome);
     }
 
-    fn end(&mut self, verdict: AttemptOutcome) {
+    fn end(&mut self, outcome: AttemptOutcome) {
         let Some(ticket) = self.ticket.take() else {
             return;
         };
         let done = Finished {
-            outcome: verdict,
-            first_token: self.first,
-            total: self.core.now().since(self.sent),
+            outcome,
+            first_token: self.first_token,
+            total: self.core.now().since(self.sent_at),
             tokens: self.pieces,
             cached: None,
         };
@@ -244,13 +254,13 @@
     }
 }
 
-impl Drop for Flight {
+impl Drop for InFlight {
     fn drop(&mut self) {
         self.end(AttemptOutcome::Cancelled);
     }
 }
 
-/// End of a booking that was never used.
+/// Outcome of a booking that was never used.
 pub(super) fn cancelled() -> Finished {
     Finished {
         outcome: AttemptOutcome::Cancelled,
--- a/app/src/entry/relay.rs
+++ b/app/src/entry/relay.rs
@@ -1,4 +1,4 @@
-//! Relays one answer, over as many attempts as it takes.
+//! Relays one answer to the caller, retrying and resuming across attempts.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,11 +15,11 @@
 use super::resolve::Job;
 use super::trial::{self, Admission, Trial};
 
-/// Refusals by agents after which a request is given up.
+/// Maximum number of refusals by agents per request.
 const MAX_REFUSALS: u32 = 16;
 
-/// Pause before a suspect is placed at another upstream.
-const ELSEWHERE_PAUSE: Duration = Duration::from_millis(50);
+/// Delay before a suspected request is placed at another upstream.
+const RELOCATION_DELAY: Duration = Duration::from_millis(50);
 
 /// One answer on its way to the caller.
 pub(super) struct Relay {
@@ -30,10 +30,12 @@
     tried: Vec<UpstreamName>,
     attempts: u32,
     refusals: u32,
-    last: Option<Failure>,
+    /// Failure of the last attempt that may have run.
+    last_failure: Option<Failure>,
     /// Whether an attempt failed in a way that may have been a crash.
-    crashed: bool,
+    maybe_crashed: bool,
     trial: Option<Trial>,
+    /// Number of pieces passed to the caller.
     position: u64,
     _running: Running,
 }
@@ -48,8 +50,8 @@
             tried: Vec::new(),
             attempts: 0,
             refusals: 0,
-            last: None,
-            crashed: false,
+            last_failure: None,
+            maybe_crashed: false,
             trial: None,
             position: 0,
             _running: running,
@@ -61,50 +63,50 @@
         self.job.meta.stream
     }
 
-    /// Places the request until an upstream begins to answer.
+    /// Places and retries the request until an upstream begins to answer.
     pub(super) async fn begin(&mut self) -> Result<Head, Failure> {
         loop {
             let placed = self.place().await?;
-            let Some(placed) = self.admitted(placed).await? else {
+            let Some(placed) = self.admit(placed).await? else {
                 continue;
             };
             match self.send(placed).await {
                 Ok(head) => return Ok(head),
-                Err(failure) => self.may_retry(failure).await?,
+                Err(failure) => self.prepare_retry(failure).await?,
             }
         }
     }
 
-    /// Asks for admission if the content is under suspicion; none to place it anew.
-    async fn admitted(&mut self, placed: Placed) -> Result<Option<Placed>, Failure> {
-        let suspected = self.crashed || self.core.is_suspect(&self.job.meta.fingerprint);
+    /// Requests admission for suspected content; returns `None` to place the request again.
+    async fn admit(&mut self, placed: Placed) -> Result<Option<Placed>, Failure> {
+        let suspected = self.maybe_crashed || self.core.is_suspect(&self.job.meta.fingerprint);
         if !suspected {
             return Ok(Some(placed));
         }
         let attempt = self.attempts + 1;
-        let admission = trial::ask(&self.core, &self.job, &placed, attempt).await;
-        match admission.map_err(|f| self.truth(f))? {
-            Admission::Free => {}
-            Admission::Apart(trial) => self.trial = Some(trial),
-            Admission::Elsewhere => {
+        let admission = trial::request_admission(&self.core, &self.job, &placed, attempt).await;
+        match admission.map_err(|f| self.with_overall_ran(f))? {
+            Admission::Unrestricted => {}
+            Admission::Isolated(trial) => self.trial = Some(trial),
+            Admission::OtherUpstream => {
                 self.tried.push(placed.upstream.clone());
-                tokio::time::sleep(ELSEWHERE_PAUSE).await;
+                tokio::time::sleep(RELOCATION_DELAY).await;
                 return Ok(None);
             }
-            Admission::After(pause) if pause < self.time_left() => {
-                tokio::time::sleep(pause).await;
+            Admission::Delayed(delay) if delay < self.time_left() => {
+                tokio::time::sleep(delay).await;
                 return Ok(None);
             }
-            Admission::After(pause) => {
-                let detail = "the content is under suspicion and its turn comes too late";
-                let failure = Failure::new(ErrorKind::NoUpstream, detail).with_retry(pause);
-                return Err(self.truth(failure));
+            Admission::Delayed(delay) => {
+                let detail = "the content is suspected of crashes; its retry is past the deadline";
+                let failure = Failure::new(ErrorKind::NoUpstream, detail).with_retry(delay);
+                return Err(self.with_overall_ran(failure));
             }
         }
         Ok(Some(placed))
     }
 
-    /// Waits for the next piece that the caller does not have; none at the end.
+    /// Waits for the next piece for the caller; `None` at the end of the answer.
     pub(super) async fn next_piece(&mut self) -> Result<Option<Bytes>, Failure> {
         loop {
             match self.step().await {
@@ -118,15 +120,15 @@
         }
     }
 
-    /// Collects the whole answer that `head` begins; starts again where an attempt breaks off.
-    pub(super) async fn whole(&mut self, mut head: Head) -> Result<(Head, Vec<u8>), Failure> {
+    /// Collects the body of the answer that `head` begins; starts over when an attempt fails.
+    pub(super) async fn collect(&mut self, mut head: Head) -> Result<(Head, Vec<u8>), Failure> {
         let mut body = Vec::new();
         loop {
             match self.step().await {
                 Ok(Step::Piece(data)) => body.extend_from_slice(&data),
                 Ok(Step::End) => return Ok((head, body)),
                 Err(failure) => {
-                    self.may_retry(failure).await?;
+                    self.prepare_retry(failure).await?;
                     body.clear();
                     head = self.begin().await?;
                 }
@@ -141,9 +143,10 @@
         };
         let step = tokio::time::timeout(left, attempt.next())
             .await
-            .unwrap_or_else(|_| Err(late()));
+            .unwrap_or_else(|_| Err(deadline_exceeded()));
         if matches!(step, Ok(Step::End)) {
-            self.core.succeeded(&self.job.meta, &self.job.profile.retry);
+            self.core
+                .record_success(&self.job.meta, &self.job.profile.retry);
             if let Some(trial) = self.trial.take() {
                 trial.finish();
             }
@@ -165,7 +168,7 @@
         let begin = Attempt::begin(&self.core, &self.client, &self.job, placed, number, resume);
         let begun = tokio::time::timeout(left, begin)
             .await
-            .unwrap_or_else(|_| Err(late()));
+            .unwrap_or_else(|_| Err(deadline_exceeded()));
         let (head, attempt) = begun?;
         self.current = Some(attempt);
         Ok(head)
@@ -176,7 +179,7 @@
         let place = placing::place(&self.core, &self.client, &self.job, &self.tried);
         let placed = match tokio::time::timeout(left, place).await {
             Ok(placed) => placed,
-            Err(_) => Err(late().with_ran(Ran::No)),
+            Err(_) => Err(deadline_exceeded().with_ran(Ran::No)),
         };
         placed.map_err(|failure| {
             let revision = self.core.view().declarations.revision;
@@ -188,65 +191,65 @@
                 &failure.detail,
                 revision,
             );
-            self.truth(failure)
+            self.with_overall_ran(failure)
         })
     }
 
-    /// Tells what became of the request, not only of its last attempt.
-    fn truth(&self, failure: Failure) -> Failure {
-        let ran = match &self.last {
+    /// Sets whether any attempt of the request may have run, not only the last one.
+    fn with_overall_ran(&self, failure: Failure) -> Failure {
+        let ran = match &self.last_failure {
             Some(last) if last.ran != Ran::No => last.ran,
             _ => failure.ran,
         };
         failure.with_ran(ran)
     }
 
-    /// Goes on elsewhere after `failure`, from the piece that comes next.
+    /// Resumes the stream at another upstream after `failure`, from the next piece.
     async fn resume(&mut self, failure: Failure) -> Result<(), Failure> {
         let broken = |f| Failure {
             kind: ErrorKind::StreamBroken,
             ran: Ran::Yes,
             ..f
         };
-        self.may_retry(failure).await.map_err(broken)?;
+        self.prepare_retry(failure).await.map_err(broken)?;
         let head = self.begin().await.map_err(broken)?;
         if head.is_event_stream() {
             return Ok(());
         }
         let detail = format!(
-            "an upstream answered with status {} instead of going on",
+            "an upstream answered with status {} instead of resuming",
             head.status
         );
         Err(broken(Failure::new(ErrorKind::StreamBroken, detail)))
     }
 
-    /// Passes `failure` on unless another attempt is allowed.
-    async fn may_retry(&mut self, failure: Failure) -> Result<(), Failure> {
+    /// Waits for the retry delay, or returns `failure` if no further attempt is allowed.
+    async fn prepare_retry(&mut self, failure: Failure) -> Result<(), Failure> {
         self.current = None;
         self.trial = None;
         if is_final(failure.kind) {
-            return Err(self.truth(failure));
+            return Err(self.with_overall_ran(failure));
         }
         if failure.ran == Ran::No {
             self.refusals += 1;
             if !RetryBudget::may_reroute(self.refusals) {
-                // The agents that refused may be asked for credits.
+                // Allows the agents that refused as candidates again, to request credits from them.
                 self.tried.clear();
             }
-            let hopeless = self.refusals >= MAX_REFUSALS || self.time_left().is_zero();
-            return if hopeless {
-                Err(self.truth(failure))
+            let exhausted = self.refusals >= MAX_REFUSALS || self.time_left().is_zero();
+            return if exhausted {
+                Err(self.with_overall_ran(failure))
             } else {
                 Ok(())
             };
         }
-        self.crashed = true;
+        self.maybe_crashed = true;
         let ran = self.attempts - self.refusals.min(self.attempts - 1);
-        let Some(pause) = self.core.may_retry(&self.job, ran) else {
+        let Some(delay) = self.core.retry_delay(&self.job, ran) else {
             return Err(failure);
         };
-        self.last = Some(failure);
-        tokio::time::sleep(pause).await;
+        self.last_failure = Some(failure);
+        tokio::time::sleep(delay).await;
         Ok(())
     }
 
@@ -255,7 +258,7 @@
     }
 }
 
-/// Whether no other upstream would answer differently.
+/// Whether a retry at another upstream would fail in the same way.
 fn is_final(kind: ErrorKind) -> bool {
     matches!(
         kind,
@@ -267,6 +270,6 @@
     )
 }
 
-fn late() -> Failure {
+fn deadline_exceeded() -> Failure {
     Failure::new(ErrorKind::DeadlineExceeded, "the deadline passed")
 }
--- a/app/src/entry/resolve.rs
+++ b/app/src/entry/resolve.rs
@@ -9,14 +9,14 @@
 };
 use pimentotide_upstream::block_hashes;
 
-/// A request with all that its profile says about it.
+/// A resolved request with its profile.
 #[derive(Clone, Debug)]
 pub(super) struct Job {
-    /// What the caller asked.
+    /// Request as received from the caller.
     pub(super) call: Call,
-    /// Placement attributes.
+    /// Attributes for placement, with limits of the profile applied.
     pub(super) meta: RequestMeta,
-    /// Profile in force when it arrived.
+    /// Profile in force when the request arrived.
     pub(super) profile: Profile,
 }
 
@@ -48,7 +48,7 @@
         priority: call
             .priority
             .map_or(profile.priority, |p| p.min(profile.priority)),
-        deadline: now + allowed(&call, profile),
+        deadline: now + time_limit(&call, profile),
         idempotent: profile.idempotent || is_safe(&call),
         key: call.key.clone(),
         fingerprint: fingerprint(&call),
@@ -124,12 +124,12 @@
     }
 }
 
-fn allowed(call: &Call, profile: &Profile) -> Duration {
+fn time_limit(call: &Call, profile: &Profile) -> Duration {
     call.deadline
         .map_or(profile.deadline, |d| d.min(profile.deadline))
 }
 
-/// Methods that HTTP defines as safe may be repeated whatever the profile says.
+/// Whether HTTP defines the method as safe, so that it may be retried under any profile.
 fn is_safe(call: &Call) -> bool {
     matches!(call.method.as_str(), "GET" | "HEAD" | "OPTIONS")
 }
--- a/app/src/entry/trial.rs
+++ b/app/src/entry/trial.rs
@@ -1,36 +1,36 @@
-//! How a request under suspicion of crashing upstreams may run.
+//! Admission of requests suspected of crashing upstreams.
 //!
-//! A content is under suspicion after it ran on an upstream that died. It runs
-//! again only as the log admits it, so that no content crashes more than two
-//! upstreams, whichever entries its copies come through.
+//! A content is suspected after it ran on an upstream that crashed. It runs
+//! again only as the replicated log admits it, so that no content crashes more
+//! than two upstreams, whichever entries receive its copies.
 
 use std::time::Duration;
 
 use pimentotide_control::{Command, Response};
 use pimentotide_instance::Submitter;
 use pimentotide_model::{ErrorKind, Failure, Fingerprint, Ran};
-use pimentotide_outcome::{Command as Journal, Crash, Reply, Ticket, Verdict, Witness};
+use pimentotide_outcome::{Command as JournalCommand, Crash, Reply, Ticket, Verdict, Witness};
 
 use super::core::Core;
 use super::placing::Placed;
 use super::resolve::Job;
 
-/// Time allowed for one command.
-const TIMEOUT: Duration = Duration::from_secs(2);
+/// Timeout of committing one command.
+const COMMAND_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How a request may run at the place that was chosen.
+/// Decision on whether and where a suspected request may run.
 pub(super) enum Admission {
-    /// Like any other.
-    Free,
-    /// As the only suspect of the upstream.
-    Apart(Trial),
-    /// At another upstream.
-    Elsewhere,
-    /// Not before this time has passed.
-    After(Duration),
+    /// May run without restrictions.
+    Unrestricted,
+    /// May run as the only suspect on the upstream.
+    Isolated(Trial),
+    /// May run only at another upstream.
+    OtherUpstream,
+    /// May run after this time.
+    Delayed(Duration),
 }
 
-/// A suspect that runs; ends its trial when dropped.
+/// A running suspect; ends its trial when dropped.
 pub(super) struct Trial {
     control: Submitter,
     content: Fingerprint,
@@ -39,7 +39,7 @@
 }
 
 impl Trial {
-    /// Notes that the content ran to its end, which clears it.
+    /// Records that the request completed, which clears its content.
     pub(super) fn finish(mut self) {
         self.finished = true;
     }
@@ -48,53 +48,56 @@
 impl Drop for Trial {
     fn drop(&mut self) {
         let (control, content, ticket) = (self.control.clone(), self.content, self.ticket);
-        let end = Journal::EndTrial {
+        let end = JournalCommand::EndTrial {
             content,
             ticket,
             finished: self.finished,
         };
         actix_rt::spawn(async move {
-            // A trial that is not ended runs out by itself.
-            if let Err(e) = control.submit(&Command::Outcome(end), TIMEOUT).await {
+            // A trial whose end is not recorded expires.
+            if let Err(e) = control
+                .submit(&Command::Outcome(end), COMMAND_TIMEOUT)
+                .await
+            {
                 log::debug!("ending a trial failed: {e}");
             }
         });
     }
 }
 
-/// Asks how a suspected request may run.
-pub(super) async fn ask(
+/// Requests admission for a suspected request.
+pub(super) async fn request_admission(
     core: &Core,
     job: &Job,
     placed: &Placed,
     attempt: u32,
 ) -> Result<Admission, Failure> {
     let Some(control) = core.control().cloned() else {
-        return Ok(Admission::Free);
+        return Ok(Admission::Unrestricted);
     };
     let content = job.meta.fingerprint;
     let ticket = Ticket {
         request: job.meta.id,
         attempt,
     };
-    let command = Command::Outcome(Journal::Trial {
+    let command = Command::Outcome(JournalCommand::Trial {
         content,
         ticket,
         upstream: placed.upstream.clone(),
         allowed: job.meta.deadline.since(core.now()),
     });
-    match control.submit(&command, TIMEOUT).await? {
+    match control.submit(&command, COMMAND_TIMEOUT).await? {
         Response::Outcome(Reply::Verdict(verdict)) => match verdict {
-            Verdict::Free => Ok(Admission::Free),
-            Verdict::Apart => Ok(Admission::Apart(Trial {
+            Verdict::Free => Ok(Admission::Unrestricted),
+            Verdict::Apart => Ok(Admission::Isolated(Trial {
                 control,
                 content,
                 ticket,
                 finished: false,
             })),
-            Verdict::Occupied => Ok(Admission::Elsewhere),
-            Verdict::Wait(pause) => Ok(Admission::After(pause)),
-            Verdict::Refused(pause) => Err(refused(pause)),
+            Verdict::Occupied => Ok(Admission::OtherUpstream),
+            Verdict::Wait(delay) => Ok(Admission::Delayed(delay)),
+            Verdict::Refused(delay) => Err(crashing_request(delay)),
         },
         other => {
             let detail = format!("unexpected response to a trial: {other:?}");
@@ -103,21 +106,24 @@
     }
 }
 
-/// Reports that an agent was lost with a request.
-pub(super) async fn report_loss(core: &Core, crash: Crash) {
+/// Records the failure of an agent that had received a request.
+pub(super) async fn report_crash(core: &Core, crash: Crash) {
     let Some(control) = core.control() else {
         return;
     };
     if let Err(e) = control
-        .submit(&Command::Outcome(Journal::Crash(crash)), TIMEOUT)
+        .submit(
+            &Command::Outcome(JournalCommand::Crash(crash)),
+            COMMAND_TIMEOUT,
+        )
         .await
     {
-        log::warn!("the loss of an agent was not recorded: {e}");
+        log::warn!("recording the failure of an agent failed: {e}");
     }
 }
 
-/// Builds the report of an agent that was lost with a request.
-pub(super) fn loss(core: &Core, job: &Job, placed: &Placed) -> Crash {
+/// Builds the crash report for an agent that fails with a request.
+pub(super) fn agent_crash(core: &Core, job: &Job, placed: &Placed) -> Crash {
     let view = core.view();
     Crash {
         upstream: placed.upstream.clone(),
@@ -128,10 +134,10 @@
     }
 }
 
-fn refused(pause: Duration) -> Failure {
+fn crashing_request(delay: Duration) -> Failure {
     let failure = Failure::new(
         ErrorKind::CrashingRequest,
         "this content crashed two upstreams",
     );
-    failure.with_ran(Ran::No).with_retry(pause)
+    failure.with_ran(Ran::No).with_retry(delay)
 }
--- a/app/src/entry/waiting.rs
+++ b/app/src/entry/waiting.rs
@@ -1,4 +1,4 @@
-//! Requests that wait in the queues of an entry, and the credits that end the wait.
+//! Queued requests of an entry, and the demand for credits to place them.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,29 +11,29 @@
 use super::core::{Core, Inner};
 use super::placing::cancelled;
 
-/// Pause after an agent could not be asked.
-const ASK_PAUSE: Duration = Duration::from_millis(100);
+/// Delay before a failed demand request is retried.
+const DEMAND_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Place that a request has waited for, or why there is none.
-pub(super) type Place = Result<Box<Decision>, Failure>;
+/// Placement of a queued request, or the reason for its refusal.
+pub(super) type PlaceResult = Result<Box<Decision>, Failure>;
 
 /// A request in a queue.
 #[derive(Debug)]
 pub(super) struct Waiting {
     pub(super) meta: RequestMeta,
-    /// Upstreams that refused it before.
+    /// Upstreams that earlier attempts have tried.
     pub(super) tried: Vec<UpstreamName>,
-    pub(super) sender: oneshot::Sender<Place>,
+    pub(super) sender: oneshot::Sender<PlaceResult>,
 }
 
 impl Waiting {
-    /// Tells the request that there will be no place.
+    /// Ends the wait of the request with `failure`.
     pub(super) fn refuse(self, failure: Failure) {
-        // A caller that went away needs no answer.
+        // The caller may have disconnected.
         let _ = self.sender.send(Err(failure));
     }
 
-    /// Hands a place over; the booking is given back if nobody waits any more.
+    /// Ends the wait with a placement; releases the booking if the request was cancelled.
     fn accept(self, inner: &mut Inner, decision: Decision, now: Time) {
         if let Err(Ok(unused)) = self.sender.send(Ok(Box::new(decision))) {
             inner
@@ -43,7 +43,7 @@
     }
 }
 
-/// Sheds what cannot be answered in time and places what finds room.
+/// Sheds requests that would miss their deadline and places those that fit.
 pub(super) fn tick(core: &Arc<Core>, client: &WorkClient) {
     let now = core.now();
     let mut inner = core.lock();
@@ -55,16 +55,16 @@
                 shed.queued.item.refuse(failure);
             }
         }
-        drain(core, client, &mut inner, &service, now);
+        place_queued(core, client, &mut inner, &service, now);
     }
     for upstream in inner.placer.check_stalls(now) {
-        log::warn!("upstream {upstream} makes no progress and gets no work for a while");
-        inner.stall_of(&upstream).notify_waiters();
+        log::warn!("upstream {upstream} makes no progress; ejecting it");
+        inner.stall_signal(&upstream).notify_waiters();
     }
 }
 
-/// Places queued requests until the first that finds no room.
-fn drain(
+/// Places queued requests up to the first that no upstream can accept.
+fn place_queued(
     core: &Arc<Core>,
     client: &WorkClient,
     inner: &mut Inner,
@@ -81,7 +81,7 @@
             Placement::Refused(failure) => queued.item.refuse(failure),
             Placement::Wait(wait) => {
                 for upstream in &wait.upstreams {
-                    ask_for_credits(core, client, inner, upstream, service);
+                    request_credits(core, client, inner, upstream, service);
                 }
                 if let Some(queue) = inner.queues.get_mut(service) {
                     queue.requeue(queued, now);
@@ -92,24 +92,28 @@
     }
 }
 
-/// Asks the agent of `upstream` for credits for as long as requests for `service` wait.
-pub(super) fn ask_for_credits(
+/// Requests credits from the agent of `upstream` while requests for `service` are queued.
+pub(super) fn request_credits(
     core: &Arc<Core>,
     client: &WorkClient,
     inner: &mut Inner,
     upstream: &UpstreamName,
     service: &ServiceName,
 ) {
-    let services = inner.asked.entry(upstream.clone()).or_default();
-    let asking = !services.is_empty();
+    let services = inner.demanded.entry(upstream.clone()).or_default();
+    let active = !services.is_empty();
     services.insert(service.clone());
-    if !asking {
-        actix_rt::spawn(ask(Arc::clone(core), client.clone(), upstream.clone()));
+    if !active {
+        actix_rt::spawn(send_demand(
+            Arc::clone(core),
+            client.clone(),
+            upstream.clone(),
+        ));
     }
 }
 
-/// Asks one agent for credits until nothing waits for it.
-async fn ask(core: Arc<Core>, client: WorkClient, upstream: UpstreamName) {
+/// Sends demand to one agent until no queued request needs its credits.
+async fn send_demand(core: Arc<Core>, client: WorkClient, upstream: UpstreamName) {
     let mut returned = Vec::new();
     loop {
         let demand = demand_for(&core, &upstream);
@@ -120,7 +124,7 @@
             .address(&upstream)
             .and_then(|a| a.parse().ok());
         let Some(agent) = agent else {
-            core.lock().asked.remove(&upstream);
+            core.lock().demanded.remove(&upstream);
             return;
         };
         let order = DemandOrder {
@@ -131,8 +135,8 @@
         match client.demand(agent, &order).await {
             Ok(answer) => returned = use_grants(&core, &upstream, answer.grants),
             Err(e) => {
-                log::debug!("asking the agent of {upstream} for credits failed: {e}");
-                tokio::time::sleep(ASK_PAUSE).await;
+                log::debug!("requesting credits from the agent of {upstream} failed: {e}");
+                tokio::time::sleep(DEMAND_RETRY_DELAY).await;
             }
         }
         if last && returned.is_empty() {
@@ -141,25 +145,29 @@
     }
 }
 
-/// Demand to state to the agent of `upstream`; stops asking if there is none.
+/// Returns the demand for the agent of `upstream`; removes its services if it is empty.
 fn demand_for(core: &Core, upstream: &UpstreamName) -> EntryDemand {
     let now = core.now();
     let mut inner = core.lock();
-    let asked = inner.asked.get(upstream).cloned().unwrap_or_default();
+    let services = inner.demanded.get(upstream).cloned().unwrap_or_default();
     let mut demand = EntryDemand::new();
-    for service in &asked {
-        let agents = inner.asked.values().filter(|s| s.contains(service)).count();
+    for service in &services {
+        let agents = inner
+            .demanded
+            .values()
+            .filter(|s| s.contains(service))
+            .count();
         if let Some(queue) = inner.queues.get(service) {
             demand.extend(queue.demand(agents, now));
         }
     }
     if demand.is_empty() {
-        inner.asked.remove(upstream);
+        inner.demanded.remove(upstream);
     }
     demand
 }
 
-/// Sends waiting requests to the upstream that granted; returns the credits left over.
+/// Places queued requests with the granted credits; returns the unused credits.
 fn use_grants(core: &Core, upstream: &UpstreamName, grants: Vec<Grant>) -> Vec<CreditId> {
     let now = core.now();
     let mut inner = core.lock();
