--- a/app/src/agent/mod.rs
+++ b/app/src/agent/mod.rs
@@ -124,17 +124,17 @@
     }
 
     /// Subscribes to the highest revision received with a work order.
-    pub fn heard(&self) -> watch::Receiver<Revision> {
+    pub fn highest_revision(&self) -> watch::Receiver<Revision> {
         self.core.highest_revision()
     }
 
     /// Also accepts orders for `incarnation`, under which the directory lists the upstream.
-    pub fn rename(&self, incarnation: Incarnation) {
+    pub fn set_alias(&self, incarnation: Incarnation) {
         self.core.set_alias(incarnation);
     }
 
     /// Refuses new work, as when another process has taken over the upstream's name.
-    pub fn leave(&self) {
+    pub fn drain(&self) {
         self.core.drain();
     }
 
--- a/app/src/run/roles.rs
+++ b/app/src/run/roles.rs
@@ -243,7 +243,7 @@
     });
     let (agent, follower) = (Arc::new(agent), Arc::new(follower));
     let links = [
-        actix_rt::spawn(hear(agent.heard(), Arc::clone(&follower))),
+        actix_rt::spawn(hear(agent.highest_revision(), Arc::clone(&follower))),
         actix_rt::spawn(rename(reporter.incarnation(), Arc::clone(&agent))),
         actix_rt::spawn(step_back(reporter.incarnation_state(), Arc::clone(&agent))),
     ];
@@ -267,7 +267,7 @@
 async fn rename(mut incarnation: watch::Receiver<Incarnation>, agent: Arc<Agent>) {
     while incarnation.changed().await.is_ok() {
         let known = *incarnation.borrow_and_update();
-        agent.rename(known);
+        agent.set_alias(known);
     }
 }
 
@@ -278,7 +278,7 @@
         .await
         .is_ok()
     {
-        agent.leave();
+        agent.drain();
     }
 }
 
