--- a/app/src/agent/core.rs
+++ b/app/src/agent/core.rs
@@ -326,7 +326,7 @@
     }
 
     /// Returns the load report and the cache events that the entry lacks.
-    pub(super) fn news(&self, order: &NewsOrder) -> Option<News> {
+    pub(super) fn news(&self, order: &UpdateRequest) -> Option<UpstreamUpdate> {
         let mut inner = self.lock();
         let slot = inner.slot.as_mut()?;
         let same_incarnation = order.incarnation == Incarnation(slot.engine.started);
--- a/app/src/entry/tasks.rs
+++ b/app/src/entry/tasks.rs
@@ -82,7 +82,7 @@
 
 /// Requests load and cache events from each agent in turn.
 async fn poll_news(core: Arc<Core>, client: WorkClient) {
-    let mut next = std::collections::BTreeMap::<UpstreamName, NewsOrder>::new();
+    let mut next = std::collections::BTreeMap::<UpstreamName, UpdateRequest>::new();
     loop {
         let upstreams = Arc::clone(&core.view().upstreams);
         next.retain(|name, _| upstreams.contains_key(name));
@@ -100,7 +100,7 @@
                     incarnation: announcement.incarnation,
                     sequence: 0,
                 });
-            match client.news(agent, &order).await {
+            match client.upstream_update(agent, &order).await {
                 Ok(news) => drop(next.insert(name.clone(), apply_news(&core, name, order, &news))),
                 Err(e) => log::debug!(
                     "requesting load and cache events from the agent of {name} failed: {e}"
@@ -114,7 +114,12 @@
 }
 
 /// Applies the load and cache events of an agent; returns the next request.
-fn apply_news(core: &Core, upstream: &UpstreamName, order: NewsOrder, news: &News) -> NewsOrder {
+fn apply_news(
+    core: &Core,
+    upstream: &UpstreamName,
+    order: UpdateRequest,
+    news: &UpstreamUpdate,
+) -> UpdateRequest {
     core.observe_report(upstream, &news.report);
     let incarnation: Incarnation = news.report.incarnation;
     let now = core.now();
--- a/app/src/fleet/control/mod.rs
+++ b/app/src/fleet/control/mod.rs
@@ -126,9 +126,9 @@
                 .map(|(n, a)| (InstanceName::from(n), a)),
         );
     }
-    options.log.election = ELECTION;
-    options.log.heartbeat = HEARTBEAT;
-    options.log.resend = RESEND;
+    options.log.election_timeout = ELECTION;
+    options.log.heartbeat_interval = HEARTBEAT;
+    options.log.resend_timeout = RESEND;
     options.request_timeout = PATIENCE;
     options.stall = STALL;
     options.compact_after = COMPACT;
--- a/peers/instance/src/replica/actor.rs
+++ b/peers/instance/src/replica/actor.rs
@@ -168,7 +168,7 @@
             }
             Action::Rejected(id, reason) => self.reject(id, &reason),
             Action::ReadReady(id, index) => self.read_ready(id, index),
-            Action::Refused { from, meant } => self.log_refusal(&from, &meant),
+            Action::Refused { from, intended } => self.log_refusal(&from, &intended),
         }
     }
 
@@ -280,7 +280,7 @@
             .map(|(id, _)| *id)
             .collect();
         for id in late {
-            self.applier.forget(id);
+            self.applier.abandon(id);
             if let Some(pending) = self.pending.remove(&id) {
                 let failure = Failure::new(ErrorKind::NoQuorum, "no quorum answered in time");
                 pending.reply.refuse(Refusal::from(failure));
@@ -432,7 +432,8 @@
     type Context = Context<Self>;
 
     fn started(&mut self, ctx: &mut Self::Context) {
-        let interval = MIN_TICK_INTERVAL.max(self.options.log.heartbeat / TICKS_PER_HEARTBEAT);
+        let interval =
+            MIN_TICK_INTERVAL.max(self.options.log.heartbeat_interval / TICKS_PER_HEARTBEAT);
         ctx.run_interval(interval, |replica, _| replica.tick());
         let me = self.node.hard().identity.clone();
         if self.node.hard().cluster.is_none() && !self.options.founders.is_empty() {
@@ -510,7 +511,7 @@
             entries: Vec::new(),
         };
         let cluster = ClusterId(rand::random());
-        if let Some(write) = Node::found(&empty, cluster, request.config) {
+        if let Some(write) = Node::bootstrap(&empty, cluster, request.config) {
             replica.bootstrap = Some(write.clone());
             replica.writer.write(write);
         }
--- a/peers/instance/src/replica/handle.rs
+++ b/peers/instance/src/replica/handle.rs
@@ -76,7 +76,7 @@
             .await
             .map_err(|e| Failure::new(ErrorKind::Internal, e.to_string()))??;
         log::info!(
-            "opened replica {}: new folder {fresh}, {cut} bytes truncated, {} entries",
+            "opened replica {}: new folder {fresh}, {truncated_bytes} bytes truncated, {} entries",
             recovered.hard.identity,
             recovered.entries.len()
         );
@@ -298,7 +298,7 @@
 
     /// Transfers leadership, finishes the queued writes and stops the replica.
     pub async fn stop(self) {
-        let limit = self.options.log.election * 2;
+        let limit = self.options.log.election_timeout * 2;
         self.replica.do_send(TransferLeadership);
         // Stops as leader if no other replica takes over in time.
         let _ = tokio::time::timeout(limit, self.leadership_transferred()).await;
--- a/peers/instance/tests/it/replica.rs
+++ b/peers/instance/tests/it/replica.rs
@@ -72,7 +72,7 @@
         let mut options = ReplicaOptions::new(name, address, self.folder(number), token.clone())
             .with_founders(self.founders.clone());
         options.compact_after = 20;
-        options.log.keep = 5;
+        options.log.retained_entries = 5;
         let handle = Replica::spawn(options, List::default()).await.unwrap();
         let methods = module(handle.clone()).unwrap();
         let server = PeerServer::bind(address, token, [methods]).await.unwrap();
