--- a/peers/operator/src/client/failure.rs
+++ b/peers/operator/src/client/failure.rs
@@ -1,4 +1,4 @@
-//! How a request of the client can fail, and what that is to a script.
+//! Errors of the client and their exit codes.
 
 use std::fmt;
 
@@ -6,36 +6,36 @@
 
 use crate::message::ProblemBody;
 
-/// Why the client has no answer to give.
+/// Failure of a client request.
 #[derive(Debug)]
 pub enum ClientError {
-    /// A replica refused.
+    /// The request was refused for a reason that a retry does not change.
     Refused(Box<ProblemBody>),
-    /// No replica answered in time; the order may be in force.
+    /// No replica answered in time; the order may be in force. One line per replica.
     NoAnswer(Vec<String>),
-    /// One replica could not answer; another may.
-    Lost(String),
-    /// Something that is not of this protocol.
+    /// One replica failed to answer; another may succeed.
+    Retryable(String),
+    /// The request or answer could not be encoded or decoded.
     Malformed(String),
 }
 
-/// What a command ends with.
+/// Exit status of a command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Exit {
-    /// Done.
+    /// Success.
     Done,
-    /// Refused.
+    /// The request was refused.
     Refused,
-    /// Wrong usage or a wrong document.
+    /// Invalid usage or an invalid document.
     Usage,
-    /// Another order came first, or the order identifier was used before.
+    /// Another order was accepted first, or the order identifier is already in use.
     Conflict,
-    /// No answer; the order may be in force.
+    /// No usable answer; the order may be in force.
     NoAnswer,
 }
 
 impl Exit {
-    /// Exit code for scripts.
+    /// Returns the process exit code.
     pub const fn code(self) -> u8 {
         match self {
             Self::Done => 0,
@@ -48,10 +48,10 @@
 }
 
 impl ClientError {
-    /// What a command ends with after this error.
+    /// Returns the exit status of a command that failed with this error.
     pub fn exit(&self) -> Exit {
         match self {
-            Self::NoAnswer(_) | Self::Lost(_) | Self::Malformed(_) => Exit::NoAnswer,
+            Self::NoAnswer(_) | Self::Retryable(_) | Self::Malformed(_) => Exit::NoAnswer,
             Self::Refused(problem) => match problem.kind {
                 ErrorKind::RevisionConflict | ErrorKind::KeyMismatch => Exit::Conflict,
                 ErrorKind::InvalidDeclaration | ErrorKind::InvalidRequest => Exit::Usage,
@@ -62,9 +62,9 @@
 }
 
 impl From<ProblemBody> for ClientError {
-    /// Tells a refusal for good from an answer that another replica may not give.
+    /// Classifies a problem as final or as retryable on another replica.
     fn from(problem: ProblemBody) -> Self {
-        let last = matches!(
+        let is_final = matches!(
             problem.kind,
             ErrorKind::InvalidRequest
                 | ErrorKind::Forbidden
@@ -75,10 +75,10 @@
                 | ErrorKind::KeyMismatch
                 | ErrorKind::InvalidDeclaration
         );
-        if last {
+        if is_final {
             Self::Refused(Box::new(problem))
         } else {
-            Self::Lost(problem.detail)
+            Self::Retryable(problem.detail)
         }
     }
 }
@@ -94,12 +94,12 @@
                 }
                 Ok(())
             }
-            Self::NoAnswer(tried) => {
+            Self::NoAnswer(failures) => {
                 f.write_str("no replica answered in time")?;
-                tried.iter().try_for_each(|t| write!(f, "\n{t}"))
+                failures.iter().try_for_each(|t| write!(f, "\n{t}"))
             }
-            Self::Lost(why) => write!(f, "the answer was lost: {why}"),
-            Self::Malformed(why) => write!(f, "the answer is not understood: {why}"),
+            Self::Retryable(reason) => write!(f, "the attempt failed: {reason}"),
+            Self::Malformed(reason) => write!(f, "malformed request or answer: {reason}"),
         }
     }
 }
--- a/peers/operator/src/client/mod.rs
+++ b/peers/operator/src/client/mod.rs
@@ -1,4 +1,4 @@
-//! Client of operators: several replicas, one answer.
+//! Client for operators that retries a request on several replicas.
 
 mod failure;
 
@@ -12,32 +12,32 @@
 use tokio::time::{Instant, sleep, timeout_at};
 
 use crate::control::{Cluster, MemberChange};
-use crate::message::{Accepted, InForce, OrderRequest, ProblemBody};
+use crate::message::{Accepted, CurrentDeclarations, OrderRequest, ProblemBody};
 
 pub use failure::{ClientError, Exit};
 
-/// Time after which the client gives up.
+/// Default time limit of a request over all attempts.
 pub const TOTAL_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Time that one replica has for an answer.
+/// Default time limit of one attempt on one replica.
 pub const ATTEMPT_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Pause after all replicas have failed in turn.
-const ROUND_PAUSE: Duration = Duration::from_millis(200);
+/// Delay before the next round once every replica has failed.
+const RETRY_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Longest answer, bytes.
+/// Maximum size of an answer.
 const MAX_ANSWER_BYTES: usize = 64 << 20;
 
-/// Client that knows several replicas.
+/// Client of the control replicas' operator interface.
 pub struct Client {
     http: Http,
     addresses: Vec<String>,
-    total: Duration,
-    attempt: Duration,
+    total_timeout: Duration,
+    attempt_timeout: Duration,
 }
 
 impl Client {
-    /// Opens a client of the replicas at `addresses`, `IP:PORT` each.
+    /// Creates a client of the replicas at `addresses`, each `IP:PORT`.
     pub fn open<I>(addresses: I) -> Self
     where
         I: IntoIterator<Item = String>,
@@ -45,67 +45,67 @@
         Self {
             http: Http::builder().timeout(ATTEMPT_TIMEOUT).finish(),
             addresses: addresses.into_iter().collect(),
-            total: TOTAL_TIMEOUT,
-            attempt: ATTEMPT_TIMEOUT,
+            total_timeout: TOTAL_TIMEOUT,
+            attempt_timeout: ATTEMPT_TIMEOUT,
         }
     }
 
-    /// Replaces the time limits for one replica and in total.
+    /// Sets the time limits of one attempt and of the whole request.
     #[must_use]
     pub fn with_timeouts(mut self, attempt: Duration, total: Duration) -> Self {
-        self.attempt = attempt;
-        self.total = total;
+        self.attempt_timeout = attempt;
+        self.total_timeout = total;
         self
     }
 
-    /// Replaces the time limit in total.
+    /// Sets the time limit of the whole request.
     #[must_use]
     pub fn with_total(mut self, total: Duration) -> Self {
-        self.total = total;
+        self.total_timeout = total;
         self
     }
 
-    /// Gives an order; resends it under the same identifier when an answer is lost.
+    /// Submits an order; resends it under the same identifier when an answer is lost.
     ///
     /// # Errors
     ///
-    /// Fails with the refusal of a replica, or if none answered in time.
+    /// Fails if a replica refuses the request, or if none answers in time.
     pub async fn order(&self, order: &OrderRequest) -> Result<Accepted, ClientError> {
-        self.ask(&Method::POST, "/orders", Some(order)).await
+        self.send(&Method::POST, "/orders", Some(order)).await
     }
 
     /// Changes the membership of the control replicas.
     ///
     /// # Errors
     ///
-    /// Fails with the refusal of a replica, or if none answered in time.
+    /// Fails if a replica refuses the request, or if none answers in time.
     pub async fn change(&self, change: &MemberChange) -> Result<Cluster, ClientError> {
-        self.ask(&Method::POST, "/replicas", Some(change)).await
+        self.send(&Method::POST, "/replicas", Some(change)).await
     }
 
-    /// Gets what is at `path`.
+    /// Fetches the resource at `path`.
     ///
     /// # Errors
     ///
-    /// Fails with the refusal of a replica, or if none answered in time.
+    /// Fails if a replica refuses the request, or if none answers in time.
     pub async fn get<T>(&self, path: &str) -> Result<T, ClientError>
     where
         T: DeserializeOwned,
     {
-        self.ask::<(), T>(&Method::GET, path, None).await
+        self.send::<(), T>(&Method::GET, path, None).await
     }
 
-    /// Gets the declarations in force.
+    /// Fetches the declarations in force.
     ///
     /// # Errors
     ///
-    /// Fails with the refusal of a replica, or if none answered in time.
+    /// Fails if a replica refuses the request, or if none answers in time.
     pub async fn declarations(&self) -> Result<Declarations, ClientError> {
-        let answer: InForce = self.get("/declarations").await?;
+        let answer: CurrentDeclarations = self.get("/declarations").await?;
         Ok(answer.declarations)
     }
 
-    async fn ask<B, T>(
+    async fn send<B, T>(
         &self,
         method: &Method,
         path: &str,
@@ -117,24 +117,26 @@
     {
         let body = body.map(serde_json::to_vec).transpose();
         let body = body.map_err(|e| ClientError::Malformed(e.to_string()))?;
-        let end = Instant::now() + self.total;
-        let mut tried = Vec::new();
+        let deadline = Instant::now() + self.total_timeout;
+        let mut failures = Vec::new();
         loop {
-            tried.clear();
+            failures.clear();
             for address in &self.addresses {
-                let until = end.min(Instant::now() + self.attempt);
+                let until = deadline.min(Instant::now() + self.attempt_timeout);
                 let attempt = self.attempt(method, address, path, body.as_deref());
                 match timeout_at(until, attempt).await {
                     Ok(Ok(value)) => return Ok(value),
-                    Ok(Err(ClientError::Lost(why))) => tried.push(format!("{address}: {why}")),
+                    Ok(Err(ClientError::Retryable(reason))) => {
+                        failures.push(format!("{address}: {reason}"));
+                    }
                     Ok(Err(refusal)) => return Err(refusal),
-                    Err(_) => tried.push(format!("{address}: no answer in time")),
+                    Err(_) => failures.push(format!("{address}: no answer in time")),
                 }
             }
-            if Instant::now() + ROUND_PAUSE >= end {
-                return Err(ClientError::NoAnswer(tried));
+            if Instant::now() + RETRY_INTERVAL >= deadline {
+                return Err(ClientError::NoAnswer(failures));
             }
-            sleep(ROUND_PAUSE).await;
+            sleep(RETRY_INTERVAL).await;
         }
     }
 
@@ -156,16 +158,21 @@
                 .send_body(body.to_vec()),
             None => request.send(),
         };
-        let mut response = sent.await.map_err(|e| ClientError::Lost(e.to_string()))?;
+        let mut response = sent
+            .await
+            .map_err(|e| ClientError::Retryable(e.to_string()))?;
         let body = response.body().limit(MAX_ANSWER_BYTES).await;
-        let body = body.map_err(|e| ClientError::Lost(e.to_string()))?;
+        let body = body.map_err(|e| ClientError::Retryable(e.to_string()))?;
         if response.status().is_success() {
             return serde_json::from_slice(&body)
                 .map_err(|e| ClientError::Malformed(e.to_string()));
         }
         match serde_json::from_slice::<ProblemBody>(&body) {
             Ok(problem) => Err(ClientError::from(problem)),
-            Err(_) => Err(ClientError::Lost(format!("status {}", response.status()))),
+            Err(_) => Err(ClientError::Retryable(format!(
+                "status {}",
+                response.status()
+            ))),
         }
     }
 }
--- a/peers/operator/src/command/mod.rs
+++ b/peers/operator/src/command/mod.rs
@@ -1,4 +1,4 @@
-//! Commands of the operators' command line, carried out through the client.
+//! Commands of the operators' command line, executed through the client.
 
 mod render;
 
@@ -19,30 +19,30 @@
 };
 use crate::status::Status;
 
-/// What an operator asks for.
+/// Command of an operator.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Request {
-    /// Brings a document into force.
+    /// Applies a document.
     Apply {
         /// YAML text.
         text: String,
-        /// Whether what the document does not name is removed.
+        /// Whether declarations missing from the document are removed.
         prune: bool,
     },
     /// Shows what applying a document would change.
     Diff {
         /// YAML text.
         text: String,
-        /// Whether what the document does not name would be removed.
+        /// Whether declarations missing from the document count as removed.
         prune: bool,
     },
-    /// Writes one profile, or the whole document.
+    /// Prints one profile, or the whole document if `None`.
     Get(Option<ProfileName>),
     /// Lists profiles.
     List,
     /// Lists accepted orders.
     History,
-    /// Changes something other than the document.
+    /// Submits an order other than a document.
     Order(ActionRequest),
     /// Lists services.
     Services,
@@ -58,43 +58,43 @@
     Status,
 }
 
-/// What surrounds an order.
+/// Options common to all commands.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Envelope {
     /// Identifier of the order.
     pub id: OrderId,
-    /// Who gives it.
+    /// Operator who submits the order.
     pub actor: String,
-    /// Revision to insist on; documents name the one in force if none is given.
+    /// Required base revision; if `None`, documents use the revision in force.
     pub base: Option<Revision>,
-    /// Whether output is JSON.
+    /// Whether the output is JSON.
     pub json: bool,
 }
 
-/// What a command prints and ends with.
+/// Output and exit status of a command.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Output {
-    /// For standard output.
+    /// Text for standard output.
     pub text: String,
-    /// For standard error.
+    /// Text for standard error.
     pub error: String,
-    /// What it ends with.
+    /// Exit status.
     pub exit: Exit,
 }
 
-/// Carries out a request.
+/// Executes a command.
 pub async fn execute(client: &Client, envelope: &Envelope, request: Request) -> Output {
-    let run = Run { client, envelope };
-    let outcome = run.dispatch(request).await;
-    outcome.unwrap_or_else(|error| run.failed(&error))
+    let executor = Executor { client, envelope };
+    let outcome = executor.dispatch(request).await;
+    outcome.unwrap_or_else(|error| executor.failed(&error))
 }
 
-struct Run<'a> {
+struct Executor<'a> {
     client: &'a Client,
     envelope: &'a Envelope,
 }
 
-impl Run<'_> {
+impl Executor<'_> {
     async fn dispatch(&self, request: Request) -> Result<Output, ClientError> {
         match request {
             Request::Apply { text, prune } => self.apply(text, prune).await,
@@ -153,7 +153,7 @@
         };
         let outcome = self.client.order(&request).await;
         if let Err(error @ ClientError::NoAnswer(_)) = &outcome {
-            return Ok(self.unanswered(error, &request));
+            return Ok(self.unknown_outcome(error, &request));
         }
         let accepted = outcome?;
         let mut output = self.show(&accepted, render::accepted);
@@ -231,12 +231,12 @@
         }
     }
 
-    /// Says how to find out whether an order without an answer is in force.
-    fn unanswered(&self, error: &ClientError, request: &OrderRequest) -> Output {
+    /// Adds how to resend an order whose outcome is unknown.
+    fn unknown_outcome(&self, error: &ClientError, request: &OrderRequest) -> Output {
         let mut output = self.failed(error);
         let base = request.base.map(|b| format!(" --base {b}"));
         output.error.push_str(&format!(
-            "the order may be in force; give it again with --order {}{}\n",
+            "the order may be in force; resend it with --order {}{}\n",
             request.id,
             base.unwrap_or_default(),
         ));
@@ -249,7 +249,7 @@
     diff: String,
 }
 
-/// Compares the canonical documents before and after.
+/// Returns a unified diff of the canonical documents before and after.
 fn difference(current: &Declarations, document: &Document, prune: bool) -> String {
     let mut next = current.clone();
     document.merge_into(&mut next, prune);
--- a/peers/operator/src/command/render.rs
+++ b/peers/operator/src/command/render.rs
@@ -1,4 +1,4 @@
-//! Answers as text for people.
+//! Human-readable rendering of answers.
 
 use pimentotide_control::machine::Record;
 use pimentotide_model::{Service, Time, Warmth};
@@ -8,7 +8,7 @@
 use crate::message::{Accepted, Listing, ProfileSummary};
 use crate::status::{Status, UpstreamStatus, ZoneStatus};
 
-/// Shown where there is nothing to show.
+/// Placeholder for an empty cell.
 const NONE: &str = "-";
 
 pub(super) fn accepted(accepted: &Accepted) -> String {
@@ -85,7 +85,7 @@
     text + "\n"
 }
 
-/// Name of a group as the deployment describes it.
+/// Returns the `name` member of a group.
 pub(super) fn name_of(group: &serde_json::Value) -> &str {
     group.get("name").and_then(|n| n.as_str()).unwrap_or(NONE)
 }
@@ -180,7 +180,7 @@
     text.to_owned()
 }
 
-/// Time of the log as a date; leaders set it by their wall clock.
+/// Formats a log time as a UTC date; leaders set it by their wall clock.
 fn date(at: Time) -> String {
     let seconds = i64::try_from(at.as_millis() / 1_000).unwrap_or(i64::MAX);
     let Ok(date) = OffsetDateTime::from_unix_timestamp(seconds) else {
@@ -190,11 +190,11 @@
     format!("{}T{hour:02}:{minute:02}:{second:02}Z", date.date())
 }
 
-/// Single values of an object, as `key=value`.
+/// Lists the scalar members of an object as `key=value`.
 fn scalars(value: &serde_json::Value) -> String {
     let fields = value.as_object().into_iter().flatten();
-    let simple = fields.filter(|(k, v)| *k != "name" && !v.is_object() && !v.is_array());
-    let pairs: Vec<_> = simple.map(|(k, v)| format!("{k}={v}")).collect();
+    let scalars = fields.filter(|(k, v)| *k != "name" && !v.is_object() && !v.is_array());
+    let pairs: Vec<_> = scalars.map(|(k, v)| format!("{k}={v}")).collect();
     or_none(&pairs.join(" "))
 }
 
@@ -202,7 +202,7 @@
     cells.map(str::to_owned).to_vec()
 }
 
-/// Aligns the columns of rows of equal length.
+/// Formats rows of equal length as aligned columns.
 fn table(rows: &[Vec<String>]) -> String {
     let columns = rows.first().map_or(0, Vec::len);
     let widths: Vec<_> = (0..columns)
--- a/peers/operator/src/control.rs
+++ b/peers/operator/src/control.rs
@@ -1,4 +1,4 @@
-//! What the server needs of a control replica.
+//! Interface between the operators' server and a control replica.
 
 use std::future::Future;
 
@@ -8,14 +8,14 @@
 use pimentotide_model::{Failure, InstanceName};
 use serde::{Deserialize, Serialize};
 
-/// Control replica as the server of operators sees it.
+/// Control replica behind the operators' server.
 pub trait Control: Clone + Send + 'static {
     /// Proposes a command; completes once it is committed and applied.
     ///
-    /// A replica that does not lead may pass the command on to the leader.
+    /// A follower may forward the command to the leader.
     fn propose(&self, command: Command) -> impl Future<Output = Result<Response, Failure>>;
 
-    /// Completes once the local state holds all that was committed before the call.
+    /// Completes once the local state includes everything committed before the call.
     fn confirm(&self) -> impl Future<Output = Result<(), Failure>>;
 
     /// Reads the local state.
@@ -23,16 +23,16 @@
     where
         F: FnOnce(&Machine, &Registry) -> T;
 
-    /// Control replicas as this one knows them.
+    /// Returns the membership of the control replicas as seen by this replica.
     fn cluster(&self) -> Cluster;
 
-    /// Changes the membership of the control replicas by one.
+    /// Adds or removes one control replica.
     ///
-    /// The client may ask twice: adding a member that stands there with the same
-    /// address, and removing one that is gone, succeed.
+    /// Idempotent, since clients retry: adding a member that already exists with
+    /// the same address succeeds, and so does removing a missing one.
     fn change(&self, change: MemberChange) -> impl Future<Output = Result<Cluster, Failure>>;
 
-    /// Expert-parallel groups, one object each with at least a `name`.
+    /// Returns the expert-parallel groups, one object each with at least a `name`.
     fn groups(&self) -> Vec<serde_json::Value> {
         Vec::new()
     }
@@ -41,11 +41,11 @@
 /// Control replicas of the deployment.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Cluster {
-    /// Replica that tells.
+    /// Replica that reports this membership.
     pub local: String,
-    /// Replica that leads, if known.
+    /// Current leader; `None` if unknown.
     pub leader: Option<InstanceName>,
-    /// All replicas.
+    /// All control replicas.
     pub members: Vec<Member>,
 }
 
@@ -56,27 +56,27 @@
     pub name: InstanceName,
     /// Address for other replicas, `IP:PORT`.
     pub address: String,
-    /// Part that it plays.
+    /// Role in the consensus group.
     pub role: MemberRole,
 }
 
-/// Part of a control replica.
+/// Role of a control replica in the consensus group.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum MemberRole {
-    /// Counts towards a quorum.
+    /// Counts towards the quorum.
     #[display("voter")]
     Voter,
-    /// Catches up and does not count yet.
+    /// Replicates the log without counting towards the quorum.
     #[display("learner")]
     Learner,
 }
 
-/// Change of membership by one replica.
+/// Membership change by one replica.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum MemberChange {
-    /// Adds a replica, which counts once it has caught up.
+    /// Adds a replica, which becomes a voter once it has caught up.
     Add {
         /// Name of its instance.
         name: InstanceName,
--- a/peers/operator/src/message.rs
+++ b/peers/operator/src/message.rs
@@ -1,4 +1,4 @@
-//! Bodies of requests and answers.
+//! Bodies of requests and answers between the client and the server.
 
 use std::time::Duration;
 
@@ -11,22 +11,22 @@
 };
 use serde::{Deserialize, Serialize};
 
-/// Order as an operator sends it.
+/// Body of a request that submits an order.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct OrderRequest {
-    /// Identifier, the same when the order is resent.
+    /// Identifier, unchanged when the order is resent.
     pub id: OrderId,
-    /// Revision that the operator had in view; none takes whatever is current.
+    /// Revision that the order is based on; `None` accepts the current one.
     #[serde(default)]
     pub base: Option<Revision>,
-    /// Who gives it.
+    /// Operator who submits the order.
     pub actor: String,
-    /// What it changes.
+    /// Requested change.
     pub action: ActionRequest,
 }
 
-/// Action as an operator sends it; documents travel as text.
+/// Requested change; documents are sent as text.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum ActionRequest {
@@ -34,25 +34,25 @@
     Apply {
         /// YAML text.
         text: String,
-        /// Whether what the document does not name is removed.
+        /// Whether declarations missing from the document are removed.
         #[serde(default)]
         prune: bool,
     },
-    /// Takes a zone in or out of service.
+    /// Puts a zone in or out of service.
     Zone {
-        /// Zone.
+        /// Name of the zone.
         zone: ZoneName,
-        /// Whether it takes new work.
+        /// Whether the zone accepts new work.
         standing: AdminState,
     },
-    /// Takes an upstream in or out of service, or says whether it checks fencing numbers.
+    /// Puts an upstream in or out of service, or sets whether it checks fencing tokens.
     Upstream {
-        /// Upstream.
+        /// Name of the upstream.
         upstream: UpstreamName,
-        /// Whether it takes new work; unchanged if none.
+        /// Whether the upstream accepts new work; unchanged if `None`.
         #[serde(default)]
         standing: Option<AdminState>,
-        /// Whether its engine refuses old fencing numbers; unchanged if none.
+        /// Whether its engine rejects outdated fencing tokens; unchanged if `None`.
         #[serde(default)]
         fenced: Option<bool>,
     },
@@ -67,7 +67,8 @@
 }
 
 impl ActionRequest {
-    /// Turns every action but a document into its replicated form.
+    /// Converts the request into its replicated form; `None` for [`Self::Apply`],
+    /// whose document has to be parsed first.
     pub fn into_action(self) -> Option<Action> {
         Some(match self {
             Self::Apply { .. } => return None,
@@ -89,38 +90,38 @@
     }
 }
 
-/// Answer to an accepted order: committed and synced on a quorum.
+/// Answer to an order that is committed and synced on a quorum.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Accepted {
     /// Identifier of the order.
     pub id: OrderId,
-    /// Revision that it made.
+    /// Revision that the order created.
     pub revision: Revision,
-    /// What the operator may have overlooked.
+    /// Hints at probable mistakes in the order, such as unannounced names.
     pub warnings: Vec<String>,
 }
 
-/// Profile in a list.
+/// Entry in the list of profiles.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ProfileSummary {
     /// Name of the profile.
     pub name: ProfileName,
-    /// Model that serves it.
+    /// Model that serves the profile.
     pub model: Option<ModelName>,
-    /// Services that run under it.
+    /// Services that use the profile.
     pub services: Vec<ServiceName>,
 }
 
-/// List at one revision.
+/// List of elements as of one revision.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Listing<T> {
     /// Revision in force.
     pub revision: Revision,
-    /// Elements.
+    /// Listed elements.
     pub items: Vec<T>,
 }
 
-/// Document at one revision.
+/// Declaration document as of one revision.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DocumentText {
     /// Revision in force.
@@ -129,21 +130,21 @@
     pub text: String,
 }
 
-/// Declarations in force.
+/// Answer with the declarations in force.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct InForce {
-    /// All of them.
+pub struct CurrentDeclarations {
+    /// All declarations, with their revision.
     pub declarations: Declarations,
 }
 
-/// One thing that is wrong with a document.
+/// One error in a document.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ProblemLine {
-    /// Path of the key.
+    /// Path of the key, such as `profiles.drafting.priority`.
     pub path: String,
-    /// Line in the document, from 1, where known.
+    /// Line in the document, from 1; `None` if unknown.
     pub line: Option<usize>,
-    /// What is wrong and what would be right.
+    /// Description of the error and of the expected value.
     pub message: String,
 }
 
@@ -176,20 +177,20 @@
     pub title: String,
     /// HTTP status.
     pub status: u16,
-    /// What exactly happened.
+    /// Description of this occurrence.
     pub detail: String,
-    /// Whether the request has run.
+    /// Whether the request was executed.
     pub ran: Ran,
-    /// When asking again may help, milliseconds.
+    /// Time after which a retry may succeed, in milliseconds.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub retry_ms: Option<u64>,
-    /// What is wrong with the document or order.
+    /// Errors in the document or order.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub problems: Vec<ProblemLine>,
     /// Revision in force, on a conflict.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub current: Option<Revision>,
-    /// Order that came first, on a conflict.
+    /// Order that was accepted first, on a conflict.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub winner: Option<Record>,
 }
@@ -212,7 +213,7 @@
 }
 
 impl ProblemBody {
-    /// Adds what is wrong with the document or order.
+    /// Adds the errors found in the document or order.
     #[must_use]
     pub fn with_problems<I>(mut self, problems: I) -> Self
     where
--- a/peers/operator/src/server/mod.rs
+++ b/peers/operator/src/server/mod.rs
@@ -16,13 +16,13 @@
 use crate::control::Control;
 use reply::refuse;
 
-/// Most connections at once.
+/// Maximum number of concurrent connections.
 const MAX_CONNECTIONS: usize = 256;
 
-/// Time for which open requests may go on after a stop, seconds.
-const STOP_SECONDS: u64 = 10;
+/// Time for which a stop waits for open requests.
+const SHUTDOWN_TIMEOUT_SECONDS: u64 = 10;
 
-/// Running server.
+/// Running HTTP server for operators.
 #[derive(Debug)]
 pub struct Server {
     address: SocketAddr,
@@ -30,7 +30,7 @@
 }
 
 impl Server {
-    /// Binds the operators' address and starts to answer.
+    /// Binds `address` and starts serving.
     ///
     /// # Errors
     ///
@@ -46,7 +46,7 @@
         let server = HttpServer::new(factory)
             .workers(1)
             .max_connections(MAX_CONNECTIONS)
-            .shutdown_timeout(STOP_SECONDS)
+            .shutdown_timeout(SHUTDOWN_TIMEOUT_SECONDS)
             .disable_signals()
             .bind(address)?;
         let address = server.addrs().first().copied().unwrap_or(address);
@@ -56,12 +56,12 @@
         Ok(Self { address, handle })
     }
 
-    /// Address that is bound.
+    /// Returns the bound address, with the actual port if port 0 was requested.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Takes no new request and completes once open ones are answered.
+    /// Stops accepting requests and completes once open ones are answered.
     pub async fn stop(self) {
         self.handle.stop(true).await;
     }
@@ -72,23 +72,23 @@
 where
     C: Control,
 {
-    let method = || web::to(|| async { refuse(method_not_allowed()) });
-    let get = |path: &str| web::resource(path.to_owned()).default_service(method());
+    let fallback = || web::to(|| async { refuse(method_not_allowed()) });
+    let resource = |path: &str| web::resource(path.to_owned()).default_service(fallback());
     config
         .app_data(web::Data::new(control))
-        .service(get("/orders").route(web::post().to(order::submit::<C>)))
-        .service(get("/document").route(web::get().to(read::document::<C>)))
-        .service(get("/declarations").route(web::get().to(read::declarations::<C>)))
-        .service(get("/profiles").route(web::get().to(read::profiles::<C>)))
-        .service(get("/profiles/{name:.+}").route(web::get().to(read::profile::<C>)))
-        .service(get("/services").route(web::get().to(read::services::<C>)))
-        .service(get("/history").route(web::get().to(read::history::<C>)))
-        .service(get("/zones").route(web::get().to(read::zones::<C>)))
-        .service(get("/upstreams").route(web::get().to(read::upstreams::<C>)))
-        .service(get("/groups").route(web::get().to(read::groups::<C>)))
-        .service(get("/status").route(web::get().to(read::status::<C>)))
+        .service(resource("/orders").route(web::post().to(order::submit::<C>)))
+        .service(resource("/document").route(web::get().to(read::document::<C>)))
+        .service(resource("/declarations").route(web::get().to(read::declarations::<C>)))
+        .service(resource("/profiles").route(web::get().to(read::profiles::<C>)))
+        .service(resource("/profiles/{name:.+}").route(web::get().to(read::profile::<C>)))
+        .service(resource("/services").route(web::get().to(read::services::<C>)))
+        .service(resource("/history").route(web::get().to(read::history::<C>)))
+        .service(resource("/zones").route(web::get().to(read::zones::<C>)))
+        .service(resource("/upstreams").route(web::get().to(read::upstreams::<C>)))
+        .service(resource("/groups").route(web::get().to(read::groups::<C>)))
+        .service(resource("/status").route(web::get().to(read::status::<C>)))
         .service(
-            get("/replicas")
+            resource("/replicas")
                 .route(web::get().to(read::replicas::<C>))
                 .route(web::post().to(order::change::<C>)),
         )
@@ -98,10 +98,10 @@
 fn method_not_allowed() -> Failure {
     Failure::new(
         ErrorKind::MethodNotAllowed,
-        "this path takes another method",
+        "method not supported at this path",
     )
 }
 
 fn not_found() -> Failure {
-    Failure::new(ErrorKind::NotFound, "this path does not exist")
+    Failure::new(ErrorKind::NotFound, "no resource at this path")
 }
--- a/peers/operator/src/server/order.rs
+++ b/peers/operator/src/server/order.rs
@@ -1,4 +1,4 @@
-//! Orders and changes of membership.
+//! Handlers for orders and membership changes.
 
 use actix_web::HttpResponse;
 use actix_web::web::{Data, Payload};
@@ -12,7 +12,7 @@
 use crate::control::{Control, MemberChange};
 use crate::message::{Accepted, ActionRequest, OrderRequest, ProblemBody};
 
-/// Takes an order and answers once it is committed.
+/// Accepts an order and answers once it is committed.
 pub(super) async fn submit<C>(control: Data<C>, payload: Payload) -> HttpResponse
 where
     C: Control,
@@ -21,7 +21,7 @@
         Ok(request) => request,
         Err(failure) => return refuse(failure),
     };
-    match decide(&**control, request).await {
+    match propose(&**control, request).await {
         Ok(accepted) => answer(&accepted),
         Err(problem) => refuse(*problem),
     }
@@ -36,14 +36,14 @@
         Ok(request) => request,
         Err(failure) => return refuse(failure),
     };
-    log::info!("operator asks for a change of replicas: {request:?}");
+    log::info!("membership change requested by an operator: {request:?}");
     match control.change(request).await {
         Ok(cluster) => answer(&cluster),
         Err(failure) => refuse(failure),
     }
 }
 
-async fn decide<C>(control: &C, request: OrderRequest) -> Result<Accepted, Box<ProblemBody>>
+async fn propose<C>(control: &C, request: OrderRequest) -> Result<Accepted, Box<ProblemBody>>
 where
     C: Control,
 {
@@ -51,29 +51,29 @@
         ActionRequest::Apply { text, .. } => text.clone(),
         _ => String::new(),
     };
-    let order = build(control, request)?;
+    let order = build_order(control, request)?;
     let id = order.id.clone();
-    log::info!("order {id} of {}: {}", order.actor, order.action);
+    log::info!("order {id} by {}: {}", order.actor, order.action);
     let warnings = control.read(|_, registry| warnings(&order.action, registry));
     let response = control.propose(Command::Declare(order)).await;
-    match response.map_err(boxed)? {
-        Response::Declare(verdict) => judge(id, verdict, &text, warnings),
-        _ => Err(boxed(Failure::new(
+    match response.map_err(boxed_problem)? {
+        Response::Declare(verdict) => verdict_result(id, verdict, &text, warnings),
+        _ => Err(boxed_problem(Failure::new(
             ErrorKind::Internal,
-            "the log answered with something else",
+            "unexpected response from the replicated log",
         ))),
     }
 }
 
-/// Builds the replicated order; wrong text is refused before it is proposed.
-fn build<C>(control: &C, request: OrderRequest) -> Result<Order, Box<ProblemBody>>
+/// Builds the replicated order; rejects invalid text before the proposal.
+fn build_order<C>(control: &C, request: OrderRequest) -> Result<Order, Box<ProblemBody>>
 where
     C: Control,
 {
     let action = match request.action {
-        ActionRequest::Apply { text, prune } => parse(control, &text, prune)?,
+        ActionRequest::Apply { text, prune } => parse_apply(control, &text, prune)?,
         other => other.into_action().ok_or_else(|| {
-            boxed(Failure::new(
+            boxed_problem(Failure::new(
                 ErrorKind::Internal,
                 "the action has no replicated form",
             ))
@@ -87,9 +87,11 @@
     })
 }
 
-/// Reads a document. Faults against what is in force are left to the log,
-/// so that a resent order gets its first answer whatever came since.
-fn parse<C>(control: &C, text: &str, prune: bool) -> Result<Action, Box<ProblemBody>>
+/// Parses a document without checking it against the declarations in force.
+///
+/// The replicated log makes that check, so that a resent order gets its
+/// original answer even after later changes.
+fn parse_apply<C>(control: &C, text: &str, prune: bool) -> Result<Action, Box<ProblemBody>>
 where
     C: Control,
 {
@@ -104,7 +106,7 @@
     Err(invalid(problems.0))
 }
 
-fn judge(
+fn verdict_result(
     id: OrderId,
     verdict: Verdict,
     text: &str,
@@ -120,9 +122,9 @@
             })
         }
         Verdict::Invalid { faults } => Err(invalid(locate_faults(text, faults))),
-        Verdict::Mismatch { id } => Err(boxed(Failure::new(
+        Verdict::Mismatch { id } => Err(boxed_problem(Failure::new(
             ErrorKind::KeyMismatch,
-            format!("order {id} was given before with other content"),
+            format!("order {id} was already submitted with different content"),
         ))),
         Verdict::Conflict {
             base,
@@ -134,9 +136,9 @@
                     "revision {base} was followed by order {} of {}: {}",
                     winner.id, winner.actor, winner.summary
                 ),
-                None => unknown_winner(base, current),
+                None => conflict_detail(base, current),
             };
-            let mut problem = boxed(Failure::new(ErrorKind::RevisionConflict, detail));
+            let mut problem = boxed_problem(Failure::new(ErrorKind::RevisionConflict, detail));
             problem.current = Some(current);
             problem.winner = winner;
             Err(problem)
@@ -144,8 +146,8 @@
     }
 }
 
-fn unknown_winner(base: Revision, current: Revision) -> String {
-    format!("the order was made against revision {base}, and revision {current} is in force")
+fn conflict_detail(base: Revision, current: Revision) -> String {
+    format!("the order is based on revision {base}; revision {current} is in force")
 }
 
 fn invalid(problems: Vec<Problem>) -> Box<ProblemBody> {
@@ -154,6 +156,6 @@
     Box::new(ProblemBody::from(failure).with_problems(problems))
 }
 
-fn boxed(failure: Failure) -> Box<ProblemBody> {
+fn boxed_problem(failure: Failure) -> Box<ProblemBody> {
     Box::new(ProblemBody::from(failure))
 }
--- a/peers/operator/src/server/read.rs
+++ b/peers/operator/src/server/read.rs
@@ -1,8 +1,8 @@
-//! Answers from the replicated state and the directory.
+//! Read handlers over the replicated state and the directory.
 //!
-//! What is declared is answered only after a quorum has confirmed that the
-//! local state is current. The status is answered in any case and says
-//! whether it is confirmed, since it is asked for when things are wrong.
+//! Declarations are returned only after a quorum has confirmed that the local
+//! state is current. The status is returned in any case, with a flag for the
+//! confirmation, since operators need it most while a quorum is missing.
 
 use std::time::Duration;
 
@@ -16,11 +16,11 @@
 
 use super::reply::{answer, refuse};
 use crate::control::Control;
-use crate::message::{DocumentText, InForce, Listing, ProfileSummary};
+use crate::message::{CurrentDeclarations, DocumentText, Listing, ProfileSummary};
 use crate::status;
 
-/// Time that the status waits for a confirmation.
-const STATUS_PATIENCE: Duration = Duration::from_millis(1_000);
+/// Time for which the status waits for a quorum's confirmation.
+const STATUS_CONFIRM_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 pub(super) async fn document<C>(control: Data<C>) -> HttpResponse
 where
@@ -37,7 +37,7 @@
 where
     C: Control,
 {
-    confirmed(&**control, |machine, _| InForce {
+    confirmed(&**control, |machine, _| CurrentDeclarations {
         declarations: machine.declarations().clone(),
     })
     .await
@@ -145,7 +145,7 @@
 where
     C: Control,
 {
-    let confirmation = tokio::time::timeout(STATUS_PATIENCE, control.confirm()).await;
+    let confirmation = tokio::time::timeout(STATUS_CONFIRM_TIMEOUT, control.confirm()).await;
     let current = matches!(confirmation, Ok(Ok(())));
     let cluster = control.cluster();
     let groups = control.groups();
@@ -171,13 +171,13 @@
     let summaries = profiles.map(|profile| ProfileSummary {
         name: profile.name.clone(),
         model: profile.model.clone(),
-        services: users(declarations, &profile.name),
+        services: services_of(declarations, &profile.name),
     });
     summaries.collect()
 }
 
-fn users(declarations: &Declarations, profile: &ProfileName) -> Vec<ServiceName> {
+fn services_of(declarations: &Declarations, profile: &ProfileName) -> Vec<ServiceName> {
     let services = declarations.services.values();
-    let users = services.filter(|s| s.profile == *profile);
-    users.map(|s| s.name.clone()).collect()
+    let matching = services.filter(|s| s.profile == *profile);
+    matching.map(|s| s.name.clone()).collect()
 }
--- a/peers/operator/src/server/reply.rs
+++ b/peers/operator/src/server/reply.rs
@@ -1,4 +1,4 @@
-//! Answers and refusals as HTTP.
+//! Request bodies, answers and refusals over HTTP.
 
 use std::time::Duration;
 
@@ -12,13 +12,13 @@
 
 use crate::message::ProblemBody;
 
-/// Longest body of a request, bytes.
+/// Maximum size of a request body.
 pub(super) const MAX_BODY_BYTES: usize = 8 << 20;
 
-/// Time in which the body of a request must arrive.
+/// Time within which a request body must arrive.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Answers with a value.
+/// Returns a successful response with a JSON body.
 pub(super) fn answer<T>(value: &T) -> HttpResponse
 where
     T: Serialize,
@@ -26,7 +26,7 @@
     HttpResponse::Ok().json(value)
 }
 
-/// Refuses with a problem.
+/// Returns an error response with a problem document.
 pub(super) fn refuse<P>(problem: P) -> HttpResponse
 where
     P: Into<ProblemBody>,
@@ -41,27 +41,27 @@
     response.content_type("application/problem+json").body(body)
 }
 
-/// Reads and decodes a bounded body.
+/// Reads and decodes a JSON body of at most [`MAX_BODY_BYTES`].
 pub(super) async fn body<T>(payload: Payload) -> Result<T, Failure>
 where
     T: DeserializeOwned,
 {
-    let bytes = receive(payload).await?;
+    let bytes = read_bytes(payload).await?;
     let value = serde_json::from_slice(&bytes);
     value.map_err(|e| Failure::new(ErrorKind::InvalidRequest, e.to_string()))
 }
 
-async fn receive(payload: Payload) -> Result<Bytes, Failure> {
+async fn read_bytes(payload: Payload) -> Result<Bytes, Failure> {
     let bytes = payload.to_bytes_limited(MAX_BODY_BYTES);
     let Ok(received) = tokio::time::timeout(BODY_TIMEOUT, bytes).await else {
-        let detail = format!("no whole body within {} s", BODY_TIMEOUT.as_secs());
+        let detail = format!("request body incomplete after {} s", BODY_TIMEOUT.as_secs());
         return Err(Failure::new(ErrorKind::SlowCaller, detail));
     };
     match received {
         Ok(Ok(bytes)) => Ok(bytes),
         Ok(Err(error)) => Err(Failure::new(ErrorKind::InvalidRequest, error.to_string())),
         Err(_) => {
-            let detail = format!("expected at most {MAX_BODY_BYTES} bytes");
+            let detail = format!("request body exceeds {MAX_BODY_BYTES} bytes");
             Err(Failure::new(ErrorKind::BodyTooLarge, detail))
         }
     }
--- a/peers/operator/src/status.rs
+++ b/peers/operator/src/status.rs
@@ -1,4 +1,4 @@
-//! What operators are told about the deployment.
+//! Status of the deployment as reported to operators.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,12 +11,12 @@
 
 use crate::control::Cluster;
 
-/// Status of the whole deployment, as one replica knows it.
+/// Status of the whole deployment as seen by one replica.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Status {
     /// Revision in force.
     pub revision: Revision,
-    /// Whether a quorum has confirmed that this is current.
+    /// Whether a quorum has confirmed that this status is current.
     pub current: bool,
     /// Control replicas.
     pub cluster: Cluster,
@@ -24,9 +24,9 @@
     pub zones: Vec<ZoneStatus>,
     /// Upstreams, declared or announced.
     pub upstreams: Vec<UpstreamStatus>,
-    /// Entries that report.
+    /// Entries that send reports.
     pub entries: Vec<Presence>,
-    /// Expert-parallel groups.
+    /// Expert-parallel groups, see [`crate::Control::groups`].
     pub groups: Vec<serde_json::Value>,
     /// Groups whose rebalancing is paused.
     pub paused: Vec<GroupName>,
@@ -39,13 +39,14 @@
 pub struct ZoneStatus {
     /// Name of the zone.
     pub name: ZoneName,
-    /// Whether operators have it in service.
+    /// Whether operators have put the zone in or out of service.
     pub standing: AdminState,
-    /// Warm if all its upstreams are, cold if none has begun to warm up; none without upstreams.
+    /// Common warmth of all its upstreams, [`Warmth::Warming`] if they differ; `None` without
+    /// upstreams.
     pub warmth: Option<Warmth>,
-    /// Upstreams announced in it.
+    /// Number of upstreams announced in the zone.
     pub upstreams: usize,
-    /// Lowest revision of an agent in it.
+    /// Lowest revision among its agents; `None` without upstreams.
     pub revision: Option<Revision>,
 }
 
@@ -54,32 +55,32 @@
 pub struct UpstreamStatus {
     /// Name of the upstream.
     pub name: UpstreamName,
-    /// Whether operators have it in service.
+    /// Whether operators have put the upstream in or out of service.
     pub standing: AdminState,
-    /// Whether its engine refuses old fencing numbers.
+    /// Whether its engine rejects outdated fencing tokens.
     pub fenced: bool,
-    /// What its agent announces; none if it is silent.
+    /// Announcement of its agent; `None` if none is received.
     pub announced: Option<AgentStatus>,
 }
 
-/// What the agent of an upstream announces.
+/// Announcement of an upstream's agent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AgentStatus {
-    /// Its availability zone.
+    /// Availability zone of the upstream.
     pub zone: ZoneName,
     /// Address of the agent.
     pub address: String,
-    /// Start of the upstream.
+    /// Incarnation of the upstream, new at each start.
     pub incarnation: Incarnation,
-    /// How far it has warmed up.
+    /// Warm-up state of the upstream.
     pub warmth: Warmth,
-    /// Whether it is leaving.
+    /// Whether the upstream is shutting down and accepts no new work.
     pub leaving: bool,
-    /// Revision that the agent has in force.
+    /// Revision of the declarations applied by the agent.
     pub revision: Revision,
 }
 
-/// Collects the status.
+/// Returns the status of the deployment.
 pub fn status(
     machine: &Machine,
     registry: &Registry,
@@ -101,7 +102,7 @@
     }
 }
 
-/// Collects the status of every zone.
+/// Returns the status of every declared or announced zone.
 pub fn zones(machine: &Machine, registry: &Registry) -> Vec<ZoneStatus> {
     let declared = &machine.declarations().zones;
     let mut members: BTreeMap<&ZoneName, Vec<&Upstream>> = BTreeMap::new();
@@ -118,14 +119,14 @@
     let statuses = members.into_iter().map(|(name, members)| ZoneStatus {
         name: name.clone(),
         standing: declared.get(name).copied().unwrap_or_default(),
-        warmth: warmth_of(&members),
+        warmth: common_warmth(&members),
         upstreams: members.len(),
         revision: members.iter().map(|m| m.notice.announcement.revision).min(),
     });
     statuses.collect()
 }
 
-/// Collects the status of every upstream.
+/// Returns the status of every declared or announced upstream.
 pub fn upstreams(machine: &Machine, registry: &Registry) -> Vec<UpstreamStatus> {
     let declared = &machine.declarations().upstreams;
     let members: BTreeMap<_, _> = registry
@@ -164,8 +165,8 @@
     }
 }
 
-fn warmth_of(members: &[&Upstream]) -> Option<Warmth> {
+fn common_warmth(members: &[&Upstream]) -> Option<Warmth> {
     let first = members.first()?.warmth;
-    let alike = members.iter().all(|m| m.warmth == first);
-    Some(if alike { first } else { Warmth::Warming })
+    let uniform = members.iter().all(|m| m.warmth == first);
+    Some(if uniform { first } else { Warmth::Warming })
 }
--- a/peers/operator/tests/it/common.rs
+++ b/peers/operator/tests/it/common.rs
@@ -1,4 +1,4 @@
-//! Control replica in memory, and servers of it.
+//! In-memory control replica, with servers, clients and a document for the tests.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -15,17 +15,17 @@
 use pimentotide_operator::server::Server;
 use pimentotide_operator::{Cluster, Control, Member, MemberChange, MemberRole};
 
-/// What a replica does with proposals.
+/// Behaviour of a replica on proposals and reads.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Mode {
-    /// Answers.
-    Sound,
-    /// Commits, and fails to answer.
-    Loses,
+    /// Commits and answers.
+    Healthy,
+    /// Commits, but fails with an unknown outcome.
+    LosesAnswer,
     /// Cannot reach a quorum.
-    CutOff,
-    /// Never answers.
-    Silent,
+    NoQuorum,
+    /// Never answers a proposal.
+    Unresponsive,
 }
 
 pub(crate) struct State {
@@ -34,7 +34,7 @@
     pub(crate) cluster: Cluster,
 }
 
-/// Replica whose state several servers may share.
+/// Replica whose state may be shared by several servers.
 #[derive(Clone)]
 pub(crate) struct Replica {
     pub(crate) state: Arc<Mutex<State>>,
@@ -59,11 +59,11 @@
         };
         Self {
             state: Arc::new(Mutex::new(state)),
-            mode: Mode::Sound,
+            mode: Mode::Healthy,
         }
     }
 
-    /// Another replica of the same state.
+    /// Returns a replica in another mode that shares this one's state.
     pub(crate) fn with(&self, mode: Mode) -> Self {
         Self {
             state: Arc::clone(&self.state),
@@ -72,8 +72,8 @@
     }
 
     pub(crate) fn serve(&self) -> SocketAddr {
-        let any = SocketAddr::from(([127, 0, 0, 1], 0));
-        Server::bind(any, self.clone()).unwrap().address()
+        let address = SocketAddr::from(([127, 0, 0, 1], 0));
+        Server::bind(address, self.clone()).unwrap().address()
     }
 
     pub(crate) fn revision(&self) -> Revision {
@@ -108,7 +108,7 @@
             .receive(report, Time::ZERO);
     }
 
-    pub(crate) fn enter(&self, instance: &str) {
+    pub(crate) fn announce_entry(&self, instance: &str) {
         let presence = Presence {
             instance: instance.into(),
             zone: "tema-c".into(),
@@ -126,10 +126,10 @@
 
 impl Control for Replica {
     async fn propose(&self, command: Command) -> Result<Response, Failure> {
-        if self.mode == Mode::CutOff {
+        if self.mode == Mode::NoQuorum {
             return Err(Failure::new(ErrorKind::NoQuorum, "no quorum"));
         }
-        if self.mode == Mode::Silent {
+        if self.mode == Mode::Unresponsive {
             std::future::pending::<()>().await;
         }
         let response = self
@@ -138,7 +138,7 @@
             .unwrap()
             .machine
             .apply(Time::ZERO, &command);
-        if self.mode == Mode::Loses {
+        if self.mode == Mode::LosesAnswer {
             return Err(Failure::new(
                 ErrorKind::OutcomeUnknown,
                 "the answer is lost",
@@ -148,8 +148,8 @@
     }
 
     async fn confirm(&self) -> Result<(), Failure> {
-        if self.mode == Mode::CutOff {
-            return Err(Failure::new(ErrorKind::NotCurrent, "cut off"));
+        if self.mode == Mode::NoQuorum {
+            return Err(Failure::new(ErrorKind::NotCurrent, "no quorum"));
         }
         Ok(())
     }
--- a/peers/operator/tests/it/hostile.rs
+++ b/peers/operator/tests/it/hostile.rs
@@ -1,4 +1,4 @@
-//! Hostile requests: refused as such, never a fault of the server.
+//! Malformed requests are refused and never cause a server error.
 
 use actix_web::App;
 use actix_web::test::{TestRequest, call_service, init_service};
@@ -25,9 +25,9 @@
 fn damaged() -> impl Strategy<Value = Vec<u8>> {
     let action = serde_json::json!({"apply": {"text": DOCUMENT, "prune": true}});
     let order = serde_json::json!({"id": "o", "base": 0, "actor": "ama", "action": action});
-    let whole = serde_json::to_vec(&order).unwrap();
+    let valid = serde_json::to_vec(&order).unwrap();
     (any::<prop::sample::Index>(), any::<u8>()).prop_map(move |(index, byte)| {
-        let mut bytes = whole.clone();
+        let mut bytes = valid.clone();
         let at = index.index(bytes.len());
         bytes[at] = byte;
         bytes
@@ -38,7 +38,7 @@
     #![proptest_config(ProptestConfig::with_cases(16))]
 
     #[test]
-    fn damaged_orders_are_answered_and_never_a_fault(
+    fn damaged_orders_never_cause_a_server_error(
         bodies in prop::collection::vec(
             prop_oneof![damaged(), prop::collection::vec(any::<u8>(), 0..200)],
             1..20,
--- a/peers/operator/tests/it/main.rs
+++ b/peers/operator/tests/it/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the operators' interface over loopback.
+//! Integration tests of the operators' interface over loopback.
 
 mod command;
 mod common;
--- a/peers/operator/tests/it/server.rs
+++ b/peers/operator/tests/it/server.rs
@@ -1,4 +1,4 @@
-//! Answers of the server: refusals, confirmations and resent documents.
+//! Server answers: refusals, confirmed reads and resent documents.
 
 use awc::Client;
 use pimentotide_operator::message::ProblemBody;
@@ -20,9 +20,9 @@
 }
 
 #[actix_rt::test]
-async fn refusals_are_problems_with_their_kind() {
+async fn refusals_are_problem_documents_with_their_kind() {
     let address = Replica::new().serve();
-    let mut seen = Vec::new();
+    let mut refusals = Vec::new();
     for path in ["nowhere", "profiles/none", "orders"] {
         let url = format!("http://{address}/{path}");
         let mut response = Client::new().get(url).send().await.unwrap();
@@ -32,7 +32,7 @@
             response.headers().get("content-type").unwrap(),
             "application/problem+json"
         );
-        seen.push(format!("{path} {} {}", response.status(), problem.kind));
+        refusals.push(format!("{path} {} {}", response.status(), problem.kind));
     }
     let url = format!("http://{address}/orders");
     let unknown = order(
@@ -41,14 +41,14 @@
     );
     for body in [b"{}".to_vec(), unknown, vec![b' '; 9 << 20]] {
         let (status, problem) = post(url.clone(), body).await;
-        seen.push(format!("{status} {} {}", problem.kind, problem.ran));
+        refusals.push(format!("{status} {} {}", problem.kind, problem.ran));
     }
-    insta::assert_snapshot!(seen.join("\n"));
+    insta::assert_snapshot!(refusals.join("\n"));
 }
 
 #[actix_rt::test]
-async fn reads_need_a_confirmation() {
-    let address = Replica::new().with(Mode::CutOff).serve();
+async fn reads_require_a_quorum_confirmation() {
+    let address = Replica::new().with(Mode::NoQuorum).serve();
     for path in [
         "profiles",
         "document",
@@ -64,7 +64,7 @@
 }
 
 #[actix_rt::test]
-async fn resent_document_gets_its_first_answer_whatever_came_since() {
+async fn resent_document_gets_its_first_answer_after_later_orders() {
     let replica = Replica::new();
     let url = format!("http://{}/orders", replica.serve());
     let send = async |id: &str, text: &str, prune: bool| {
