--- a/peers/upstream/src/client.rs
+++ b/peers/upstream/src/client.rs
@@ -1,4 +1,4 @@
-//! Client by which an agent passes work on to its upstream.
+//! HTTP client through which an agent forwards requests to its upstream.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,67 +13,67 @@
 
 use crate::transport::whole_connector;
 
-/// Time allowed for connecting to the upstream, which runs on the same instance.
+/// Connect timeout; short, since the upstream runs on the same instance.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Time for which an idle connection is kept.
-const KEEP_ALIVE: Duration = Duration::from_secs(15);
+/// Time after which an idle connection is closed.
+const KEEP_ALIVE_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// Connections kept to the upstream at most.
+/// Maximum number of connections to the upstream.
 const MAX_CONNECTIONS: usize = 4096;
 
-/// One request to an upstream.
+/// Request to an upstream.
 #[derive(Clone, Debug)]
 pub struct EngineRequest {
-    /// Method.
+    /// HTTP method.
     pub method: Method,
-    /// Path with its query.
+    /// Path and query.
     pub path: String,
-    /// Headers, without those of a single connection.
+    /// Headers without hop-by-hop headers, see [`is_hop_header`].
     pub headers: Vec<(String, String)>,
-    /// Body.
+    /// Request body.
     pub body: Bytes,
 }
 
-/// Why an upstream gave no answer.
+/// Failure of a request to an upstream.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 pub enum EngineError {
-    /// No connection: the upstream has seen nothing of the request.
+    /// The connection could not be established, so the upstream has not received the request.
     #[display("no connection to the upstream: {_0}")]
     Unreachable(String),
-    /// The connection failed once the request may have been seen.
-    #[display("the upstream broke off: {_0}")]
+    /// The request or its answer failed after the upstream may have received the request.
+    #[display("no complete answer from the upstream: {_0}")]
     Broken(String),
 }
 
 impl std::error::Error for EngineError {}
 
-/// Head of an answer, and its body as it arrives.
+/// Head of an answer, with its body as a stream.
 pub struct EngineAnswer<S> {
-    /// Status.
+    /// HTTP status.
     pub status: StatusCode,
-    /// Headers.
+    /// Response headers.
     pub headers: HeaderMap,
-    /// Body.
+    /// Body chunks in order of arrival.
     pub body: S,
 }
 
-/// Client of one upstream, for use on one thread.
+/// HTTP client for upstreams, for use on one thread.
 #[derive(Clone)]
 pub struct EngineClient {
     client: Client,
 }
 
 impl EngineClient {
-    /// Opens a client that connects when it is first needed.
+    /// Creates a client that connects on first use and reuses connections.
     pub fn open() -> Self {
-        Self::with_keep_alive(KEEP_ALIVE)
+        Self::with_keep_alive(KEEP_ALIVE_TIMEOUT)
     }
 
-    /// Opens a client that connects anew for each request.
+    /// Creates a client that opens a new connection for each request.
     ///
-    /// A kept connection may close just as a request is sent over it, and then
-    /// nobody can tell whether the upstream has seen the request.
+    /// A reused connection may close while a request is being sent, which leaves
+    /// unknown whether the upstream has received the request.
     pub fn open_unpooled() -> Self {
         Self::with_keep_alive(Duration::ZERO)
     }
@@ -95,7 +95,8 @@
     ///
     /// # Errors
     ///
-    /// Says whether the upstream may have seen the request.
+    /// Fails with [`EngineError::Unreachable`] if the connection cannot be established, and with
+    /// [`EngineError::Broken`] if it fails later or the answer has no delimited body.
     pub async fn send(
         &self,
         address: SocketAddr,
@@ -117,7 +118,7 @@
         let status = answer.status();
         let headers = answer.headers().clone();
         if !is_delimited(&request.method, status, &headers) {
-            let detail = "its answer has neither a length nor chunks";
+            let detail = "the answer has neither content-length nor transfer-encoding";
             return Err(EngineError::Broken(detail.to_owned()));
         }
         let body = answer.map(|chunk| chunk.map_err(|e| EngineError::Broken(e.to_string())));
@@ -132,7 +133,7 @@
     ///
     /// # Errors
     ///
-    /// Fails if the peer cannot be reached or breaks off.
+    /// Fails if the peer is unreachable or the connection fails before the answer is complete.
     pub async fn post_json(
         &self,
         address: SocketAddr,
@@ -153,7 +154,7 @@
     }
 }
 
-/// Whether the end of an answer can be told from the end of its connection.
+/// Returns whether the framing of an answer marks the end of its body.
 fn is_delimited(method: &Method, status: StatusCode, headers: &HeaderMap) -> bool {
     let bodiless = status.is_informational()
         || status == StatusCode::NO_CONTENT
@@ -162,7 +163,7 @@
     bodiless || headers.contains_key(CONTENT_LENGTH) || headers.contains_key(TRANSFER_ENCODING)
 }
 
-/// Whether a header belongs to one connection and is not passed on.
+/// Returns whether a header applies to one connection only and is not forwarded.
 pub fn is_hop_header(name: &HeaderName) -> bool {
     const HOP: [&str; 8] = [
         "connection",
@@ -179,7 +180,7 @@
 
 fn send_error(error: &SendRequestError) -> EngineError {
     match error {
-        // Also reported when the connection closes after the request was sent.
+        // `Disconnected` is also reported when the connection closes after the request was sent.
         SendRequestError::Connect(ConnectError::Disconnected) => {
             EngineError::Broken("the connection closed without an answer".to_owned())
         }
--- a/peers/upstream/src/cursor.rs
+++ b/peers/upstream/src/cursor.rs
@@ -1,33 +1,33 @@
-//! Position in a stream that may continue at another upstream.
+//! Position in an event stream that may resume on another upstream.
 //!
-//! Only whole events are passed on. When a stream continues elsewhere, what the
-//! interrupted upstream sent of an unfinished event is dropped, and events that
-//! the caller has already are skipped.
+//! Only complete events are forwarded. When a stream resumes on another
+//! upstream, the partial event from the interrupted one is discarded, and events
+//! that the caller has already received are skipped.
 
 use bytes::{Bytes, BytesMut};
 use derive_more::Display;
 
 use crate::sse::{EventError, EventSplitter};
 
-/// Why a stream cannot be passed on.
+/// Failure to forward a stream.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum CursorError {
     /// An event is too long.
     #[display("{_0}")]
     Event(EventError),
-    /// An event is missing.
+    /// The event identifiers have a gap.
     #[display("event {found} follows event {last}")]
     Gap {
-        /// Last event passed on.
+        /// Identifier of the last forwarded event.
         last: u64,
-        /// Event that came.
+        /// Identifier of the received event.
         found: u64,
     },
 }
 
 impl std::error::Error for CursorError {}
 
-/// Position in a stream.
+/// Position in an event stream.
 #[derive(Debug, Default)]
 pub struct StreamCursor {
     splitter: EventSplitter,
@@ -36,7 +36,7 @@
 }
 
 impl StreamCursor {
-    /// Starts behind the event that the caller has.
+    /// Creates a cursor positioned after event `last`; `None` starts at the beginning.
     pub fn new(last: Option<u64>) -> Self {
         Self {
             last,
@@ -44,31 +44,31 @@
         }
     }
 
-    /// Last event that the caller has.
+    /// Returns the identifier of the last event that the caller has received.
     pub fn last(&self) -> Option<u64> {
         self.last
     }
 
-    /// Events passed on.
+    /// Returns the number of forwarded events.
     pub fn passed(&self) -> u64 {
         self.passed
     }
 
-    /// Whether part of an event has arrived without its end.
+    /// Returns whether an incomplete event is buffered.
     pub fn is_partial(&self) -> bool {
         self.splitter.is_partial()
     }
 
-    /// Drops what is left of an unfinished event.
+    /// Discards an incomplete event before the stream resumes on another upstream.
     pub fn restart(&mut self) {
         self.splitter = EventSplitter::default();
     }
 
-    /// Takes in bytes and returns the whole events that the caller lacks.
+    /// Appends received bytes and returns the complete events that the caller has not received.
     ///
     /// # Errors
     ///
-    /// Fails if an event is missing or too long.
+    /// Fails if the event identifiers have a gap or an event is too long.
     pub fn push(&mut self, bytes: &[u8]) -> Result<Bytes, CursorError> {
         self.splitter.push(bytes);
         let mut out = BytesMut::new();
--- a/peers/upstream/src/sse.rs
+++ b/peers/upstream/src/sse.rs
@@ -1,22 +1,22 @@
-//! Server-sent events, split as their bytes arrive.
+//! Incremental splitting of a byte stream into server-sent events.
 
 use bytes::{Bytes, BytesMut};
 use derive_more::Display;
 
-/// Longest event accepted, in bytes.
+/// Maximum size of an event.
 pub const MAX_EVENT_BYTES: usize = 1 << 20;
 
-/// One event of a stream: its raw bytes with the closing blank line.
+/// Raw bytes of one event, including the terminating blank line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Event(pub Bytes);
 
 impl Event {
-    /// Builds an event that carries `data`, which holds no line break.
+    /// Builds an event with one `data:` line; `data` must not contain a line break.
     pub fn with_data(data: &str) -> Self {
         Self(Bytes::from(format!("data: {data}\n\n")))
     }
 
-    /// Returns what the `data:` line carries, if there is one.
+    /// Returns the trimmed value of the first `data:` line, if any.
     pub fn data(&self) -> Option<&str> {
         let text = std::str::from_utf8(&self.0).ok()?;
         text.lines()
@@ -25,7 +25,7 @@
     }
 }
 
-/// Why a stream cannot be split.
+/// Failure to split a stream into events.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum EventError {
     /// An event is longer than [`MAX_EVENT_BYTES`].
@@ -35,37 +35,38 @@
 
 impl std::error::Error for EventError {}
 
-/// Splits bytes into events; keeps an unfinished event until the rest arrives.
+/// Splits bytes into events and buffers an incomplete event until the rest arrives.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     buffer: BytesMut,
+    /// Length of the prefix of `buffer` in which no separator starts.
     scanned: usize,
 }
 
 impl EventSplitter {
-    /// Takes in bytes that arrived.
+    /// Appends received bytes.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// Takes out the next whole event.
+    /// Removes and returns the next complete event, or `None` until it has arrived.
     ///
     /// # Errors
     ///
-    /// Fails if an unfinished event is too long.
+    /// Fails if an incomplete event exceeds [`MAX_EVENT_BYTES`].
     pub fn next_event(&mut self) -> Result<Option<Event>, EventError> {
         let Some(end) = self.event_end() else {
             if self.buffer.len() > MAX_EVENT_BYTES {
                 return Err(EventError::TooLong);
             }
-            self.scanned = self.buffer.len().saturating_sub(MAX_SEPARATOR - 1);
+            self.scanned = self.buffer.len().saturating_sub(MAX_SEPARATOR_BYTES - 1);
             return Ok(None);
         };
         self.scanned = 0;
         Ok(Some(Event(self.buffer.split_to(end).freeze())))
     }
 
-    /// Whether bytes of an unfinished event are left.
+    /// Returns whether the buffer holds bytes of an incomplete event.
     pub fn is_partial(&self) -> bool {
         !self.buffer.is_empty()
     }
@@ -81,4 +82,4 @@
 }
 
 const SEPARATORS: [&[u8]; 2] = [b"\n\n", b"\r\n\r\n"];
-const MAX_SEPARATOR: usize = 4;
+const MAX_SEPARATOR_BYTES: usize = 4;
--- a/peers/upstream/src/state.rs
+++ b/peers/upstream/src/state.rs
@@ -1,38 +1,38 @@
-//! What an upstream says of itself.
+//! State that an upstream reports to its agent.
 
 use std::net::SocketAddr;
 
 use pimentotide_model::{AdapterName, GroupName, ModelName, ServiceKind, ServiceName, VersionName};
 use serde::{Deserialize, Serialize};
 
-/// State of an upstream, posted to its agent.
+/// State of an upstream, posted to [`crate::ANNOUNCE_PATH`] on its agent.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EngineState {
-    /// Address that takes work.
+    /// Address that accepts work.
     pub address: SocketAddr,
-    /// Rises with each start of the upstream, Unix time in microseconds.
+    /// Start time of the upstream, Unix time in microseconds; increases with each start.
     pub started: u64,
-    /// Whether a model engine or a plain service.
+    /// Kind of upstream, a model engine or a plain service.
     pub kind: ServiceKind,
     /// Services that a plain upstream offers.
     #[serde(default)]
     pub services: Vec<ServiceName>,
-    /// Models that are loaded.
+    /// Loaded models.
     #[serde(default)]
     pub models: Vec<LoadedModel>,
-    /// Adapters that are loaded.
+    /// Loaded adapters.
     #[serde(default)]
     pub adapters: Vec<AdapterName>,
-    /// Requests it runs at once when warm.
+    /// Maximum number of concurrent requests when warm.
     pub capacity: u32,
-    /// Requests running.
+    /// Number of running requests.
     pub running: u32,
-    /// Requests waiting.
+    /// Number of queued requests.
     pub waiting: u32,
-    /// Rises with every step of its work, as with each token; none if it does not tell.
+    /// Counter that increases with every unit of work, such as a token; `None` if not reported.
     #[serde(default)]
     pub progress: Option<u64>,
-    /// Group whose ranks it hosts.
+    /// Expert-parallel group whose ranks it hosts.
     #[serde(default)]
     pub group: Option<GroupName>,
     /// Changes of the prefix cache since the last post, in order.
@@ -40,7 +40,7 @@
     pub cache: Vec<CacheEvent>,
 }
 
-/// A model in memory.
+/// Model loaded by an upstream.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadedModel {
     /// Name of the model.
@@ -49,23 +49,23 @@
     pub version: VersionName,
 }
 
-/// One change of the prefix cache.
+/// Change of the prefix cache.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CacheEvent {
-    /// Position in the engine's sequence, from 1 at each start.
+    /// Sequence number, from 1 at each start of the engine.
     pub sequence: u64,
-    /// What happened.
+    /// Kind of change.
     pub change: CacheChange,
-    /// Hash of the block, as by [`crate::block_hashes`].
+    /// Hash of the block, see [`crate::block_hashes`].
     pub block: u64,
 }
 
-/// What happened to a block of the prefix cache.
+/// Kind of change to a block of the prefix cache.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum CacheChange {
-    /// The block is cached.
+    /// The block was added to the cache.
     Stored,
-    /// The block was dropped.
+    /// The block was evicted from the cache.
     Evicted,
 }
--- a/peers/upstream/src/transport.rs
+++ b/peers/upstream/src/transport.rs
@@ -1,10 +1,10 @@
-//! Connections whose early end is an error.
+//! Connections on which end of file is an error.
 //!
-//! The HTTP client ends a body quietly when its connection closes early, so
-//! that a short body looks like a whole one. Over these connections the close
-//! itself is an error, which the client passes on; a body that ends as its
-//! framing says never reads that far. An answer that only the close delimits ends
-//! with that error too; whoever reads it can tell by its head that it has no length.
+//! The HTTP client ends a body without an error when the connection closes
+//! early, so a truncated body is taken for a complete one. Over these connections
+//! the close is an I/O error, which the client returns; a body with complete
+//! framing is never read up to the close. An answer delimited only by the close
+//! also ends with the error; its head shows that it has no length.
 
 use std::io;
 use std::pin::Pin;
@@ -19,19 +19,19 @@
 use bytes::Bytes;
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-/// Longest head that is looked at, bytes.
+/// Maximum size of a response head that is inspected.
 const MAX_HEAD_BYTES: usize = 64 << 10;
-/// Bytes read at once while the head is looked at.
-const HEAD_PART_BYTES: usize = 4 << 10;
+/// Size of one read while the head is inspected.
+const HEAD_READ_BYTES: usize = 4 << 10;
 
-/// TCP stream whose end is an error.
+/// TCP stream that returns an error at end of file.
 #[derive(Debug)]
 pub struct WholeStream {
     stream: TcpStream,
-    /// Start of the first answer, until its head is whole.
+    /// Bytes of the first answer until its head is complete; `None` afterwards.
     head: Option<Vec<u8>>,
-    /// Bytes that were read with the head and are still to be handed on.
-    ready: Bytes,
+    /// Bytes read with the head that are still to be returned to the reader.
+    buffered: Bytes,
 }
 
 impl WholeStream {
@@ -39,13 +39,13 @@
         Self {
             stream,
             head: Some(Vec::new()),
-            ready: Bytes::new(),
+            buffered: Bytes::new(),
         }
     }
 
-    /// Reads on until the head of the first answer is whole.
+    /// Reads until the head of the first answer is complete.
     fn poll_head(&mut self, cx: &mut Context<'_>, mut head: Vec<u8>) -> Poll<io::Result<()>> {
-        let mut part = [0; HEAD_PART_BYTES];
+        let mut part = [0; HEAD_READ_BYTES];
         loop {
             let mut buffer = ReadBuf::new(&mut part);
             match Pin::new(&mut self.stream).poll_read(cx, &mut buffer) {
@@ -63,11 +63,11 @@
             if end.is_some() || head.len() > MAX_HEAD_BYTES {
                 if let Some(end) = end {
                     let unframed = is_unframed(&head[..end]);
-                    if let (true, Some(version)) = (unframed, head.get_mut(..VERSION.len())) {
-                        version.copy_from_slice(OLD_VERSION);
+                    if let (true, Some(version)) = (unframed, head.get_mut(..HTTP_1_1.len())) {
+                        version.copy_from_slice(HTTP_1_0);
                     }
                 }
-                self.ready = head.into();
+                self.buffered = head.into();
                 return Poll::Ready(Ok(()));
             }
         }
@@ -75,20 +75,20 @@
 }
 
 const HEAD_END: &[u8] = b"\r\n\r\n";
-const VERSION: &[u8] = b"HTTP/1.1";
-/// Version under which the client reads a body without a length to the end of the connection.
-const OLD_VERSION: &[u8] = b"HTTP/1.0";
+const HTTP_1_1: &[u8] = b"HTTP/1.1";
+/// Version under which the client reads a body without a length up to the close.
+const HTTP_1_0: &[u8] = b"HTTP/1.0";
 
-/// Whether only the end of the connection ends the body after this head.
+/// Returns whether only the close of the connection delimits the body after `head`.
 ///
-/// The client takes such a body of the newer version for empty.
+/// The client treats such a body as empty under HTTP/1.1.
 fn is_unframed(head: &[u8]) -> bool {
     let text = String::from_utf8_lossy(head).to_ascii_lowercase();
     let status = text.split(' ').nth(1).unwrap_or_default();
     let bodiless = status.starts_with('1') || status == "204" || status == "304";
     let framed =
         |line: &str| line.starts_with("content-length:") || line.starts_with("transfer-encoding:");
-    head.starts_with(VERSION) && !bodiless && !text.lines().any(framed)
+    head.starts_with(HTTP_1_1) && !bodiless && !text.lines().any(framed)
 }
 
 impl AsyncRead for WholeStream {
@@ -102,9 +102,9 @@
         {
             return Poll::Pending;
         }
-        if !self.ready.is_empty() {
-            let length = self.ready.len().min(buffer.remaining());
-            buffer.put_slice(&self.ready.split_to(length));
+        if !self.buffered.is_empty() {
+            let length = self.buffered.len().min(buffer.remaining());
+            buffer.put_slice(&self.buffered.split_to(length));
             return Poll::Ready(Ok(()));
         }
         let (room, before) = (buffer.remaining(), buffer.filled().len());
@@ -144,7 +144,7 @@
     }
 }
 
-/// Builds a connector of such connections, which also send small writes at once.
+/// Builds a connector of [`WholeStream`] connections with `TCP_NODELAY` set.
 pub fn whole_connector(
     timeout: Duration,
 ) -> Connector<
@@ -161,7 +161,7 @@
         let connecting = connect.call(info);
         async move {
             let (stream, host) = connecting.await?.into_parts();
-            // Without it small writes wait for acknowledgements, nothing worse.
+            // Failure is harmless: small writes are then only delayed by Nagle's algorithm.
             let _ = stream.set_nodelay(true);
             Ok(Connection::new(host, WholeStream::new(stream)))
         }
--- a/peers/upstream/tests/it/broken.rs
+++ b/peers/upstream/tests/it/broken.rs
@@ -1,4 +1,4 @@
-//! What the client says of a request whose connection fails.
+//! Errors of the client when a connection fails before or after the request was received.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -12,19 +12,19 @@
 use pimentotide_upstream::{EngineClient, EngineError, EngineRequest};
 
 fn read_request(stream: &mut TcpStream) -> bool {
-    let mut seen = Vec::new();
+    let mut received = Vec::new();
     let mut buffer = [0; 1024];
-    while !seen.ends_with(b"lodge") {
+    while !received.ends_with(b"lodge") {
         match stream.read(&mut buffer) {
-            Ok(count) if count > 0 => seen.extend_from_slice(&buffer[..count]),
+            Ok(count) if count > 0 => received.extend_from_slice(&buffer[..count]),
             _ => return false,
         }
     }
     true
 }
 
-/// Address of a server that reads one request whole and closes the connection.
-fn serve_silence() -> SocketAddr {
+/// Starts a server that reads one request and closes the connection without an answer.
+fn serve_without_answer() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     thread::spawn(move || {
@@ -34,7 +34,7 @@
     address
 }
 
-/// Address of a server that answers every request, with its count of connections.
+/// Starts a server that answers every request; returns its address and connection count.
 fn serve_answers() -> (SocketAddr, Arc<AtomicUsize>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
@@ -55,7 +55,7 @@
     (address, connections)
 }
 
-async fn connections_of(client: EngineClient) -> usize {
+async fn connections_opened_by(client: EngineClient) -> usize {
     let (address, connections) = serve_answers();
     for _ in 0..3 {
         let body = Bytes::from_static(b"lodge");
@@ -74,13 +74,13 @@
 }
 
 #[actix_rt::test]
-async fn a_request_that_was_read_may_have_run() {
-    let error = post(serve_silence()).await;
+async fn close_after_the_request_is_reported_as_broken() {
+    let error = post(serve_without_answer()).await;
     assert!(matches!(error, EngineError::Broken(_)), "{error}");
 }
 
 #[actix_rt::test]
-async fn a_request_without_a_connection_did_not_run() {
+async fn refused_connection_is_reported_as_unreachable() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     drop(listener);
@@ -89,12 +89,15 @@
 }
 
 #[actix_rt::test]
-async fn only_the_pooled_client_keeps_connections() {
-    assert_eq!(connections_of(EngineClient::open()).await, 1);
-    assert_eq!(connections_of(EngineClient::open_unpooled()).await, 3);
+async fn only_the_pooled_client_reuses_connections() {
+    assert_eq!(connections_opened_by(EngineClient::open()).await, 1);
+    assert_eq!(
+        connections_opened_by(EngineClient::open_unpooled()).await,
+        3
+    );
 }
 
-/// Address of a server that sends `answer` to one request and closes the connection.
+/// Starts a server that sends `answer` to one request and closes the connection.
 fn serve_once(answer: &'static [u8]) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
@@ -106,8 +109,8 @@
     address
 }
 
-/// Body of an answer, or why it is not whole.
-async fn body_of(answer: &'static [u8]) -> Result<Vec<u8>, EngineError> {
+/// Reads the body of `answer`; fails if it is truncated.
+async fn read_body(answer: &'static [u8]) -> Result<Vec<u8>, EngineError> {
     let request = EngineRequest {
         method: Method::POST,
         path: "/orders".to_owned(),
@@ -126,26 +129,26 @@
 }
 
 #[actix_rt::test]
-async fn a_body_that_ends_early_is_never_taken_for_a_whole_one() {
-    let whole: [&[u8]; 2] = [
+async fn truncated_body_is_reported_as_broken() {
+    let complete: [&[u8]; 2] = [
         b"HTTP/1.1 200 OK\r\ncontent-length: 4\r\n\r\ndone",
         b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n4\r\ndone\r\n0\r\n\r\n",
     ];
-    for answer in whole {
-        assert_eq!(body_of(answer).await.unwrap(), b"done");
+    for answer in complete {
+        assert_eq!(read_body(answer).await.unwrap(), b"done");
     }
-    let short: [&[u8]; 4] = [
+    let truncated: [&[u8]; 4] = [
         b"HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\ndone",
         b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n4\r\ndone\r\n",
         b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n4\r\ndo",
         b"HTTP/1.1 200 OK\r\nconnection: close\r\n\r\ndone",
     ];
-    for answer in short {
+    for answer in truncated {
         let text = String::from_utf8_lossy(answer);
-        let broken = body_of(answer).await;
+        let outcome = read_body(answer).await;
         assert!(
-            matches!(broken, Err(EngineError::Broken(_))),
-            "{text:?}: {broken:?}"
+            matches!(outcome, Err(EngineError::Broken(_))),
+            "{text:?}: {outcome:?}"
         );
     }
 }
--- a/peers/upstream/tests/it/events.rs
+++ b/peers/upstream/tests/it/events.rs
@@ -1,4 +1,4 @@
-//! Server-sent events, split from bytes that arrive in any parts.
+//! Splitting of server-sent events from chunks of any size.
 
 use pimentotide_upstream::{Event, EventError, EventSplitter, MAX_EVENT_BYTES};
 use proptest::prelude::*;
@@ -17,7 +17,7 @@
 
 proptest! {
     #[test]
-    fn events_come_out_whole_however_they_arrive(
+    fn events_are_split_at_any_chunk_size(
         data in prop::collection::vec("[ -~]{0,40}", 0..8),
         size in 1..16_usize,
     ) {
@@ -27,7 +27,7 @@
     }
 
     #[test]
-    fn no_bytes_are_lost_or_make_the_splitter_panic(
+    fn arbitrary_bytes_split_alike_at_any_chunk_size(
         bytes in prop::collection::vec(
             prop::sample::select(vec![b'\n', b'\r', b'd', b':', 0xff]), 0..200,
         ),
@@ -36,13 +36,13 @@
         let whole = split(&bytes, bytes.len().max(1)).expect("short events");
         let parts = split(&bytes, size).expect("short events");
         prop_assert_eq!(&whole, &parts);
-        let taken: Vec<u8> = whole.iter().flat_map(|e| e.0.to_vec()).collect();
-        prop_assert!(bytes.starts_with(&taken));
+        let split_off: Vec<u8> = whole.iter().flat_map(|e| e.0.to_vec()).collect();
+        prop_assert!(bytes.starts_with(&split_off));
     }
 }
 
 #[test]
-fn an_event_without_an_end_is_refused_once_it_is_too_long() {
+fn overlong_incomplete_event_is_rejected() {
     let bytes = vec![b'x'; MAX_EVENT_BYTES + 1];
     assert_eq!(split(&bytes, 1 << 16), Err(EventError::TooLong));
 }
--- a/peers/upstream/tests/it/main.rs
+++ b/peers/upstream/tests/it/main.rs
@@ -1,4 +1,4 @@
-//! Integration tests of the protocol with upstreams.
+//! Integration tests of the upstream protocol.
 
 mod broken;
 mod events;
