--- a/peers/engine/src/error.rs
+++ b/peers/engine/src/error.rs
@@ -1,37 +1,37 @@
-//! What can go wrong between an agent and the platform.
+//! Errors of requests to the platform.
 
 use awc::error::{PayloadError, SendRequestError};
 use awc::http::StatusCode;
 use derive_more::Display;
 use pimentotide_model::{ErrorKind, Failure, Ran};
 
-/// Why the platform did not do what was asked.
+/// Failure of a request to the platform.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 pub enum PlatformError {
-    /// No connection: nothing was seen of the request.
+    /// The connection could not be established, so the request was not received.
     #[display("no connection to the platform: {_0}")]
     Unreachable(String),
-    /// The connection failed once the request may have been seen.
-    #[display("the platform broke off: {_0}")]
+    /// The connection failed after the request may have been received.
+    #[display("no complete answer from the platform: {_0}")]
     Broken(String),
-    /// The order carries an old fencing number.
-    #[display("the platform refused an old fencing number")]
+    /// The order carries an outdated fencing token.
+    #[display("the platform rejected an outdated fencing token")]
     Fenced,
-    /// The store serves no more at present.
-    #[display("the weights store serves no more at present")]
+    /// The leased rate of all readers would exceed that of the store.
+    #[display("the weights store is at its rate limit")]
     Busy,
-    /// The platform gave another answer.
-    #[display("the platform answered {_0}")]
+    /// The platform answered with another HTTP status.
+    #[display("the platform answered with status {_0}")]
     Status(u16),
-    /// The body of the answer is not what the protocol says.
-    #[display("malformed answer of the platform: {_0}")]
+    /// The body of the answer could not be decoded.
+    #[display("malformed answer from the platform: {_0}")]
     Malformed(String),
 }
 
 impl std::error::Error for PlatformError {}
 
 impl PlatformError {
-    pub(crate) fn of_status(status: StatusCode) -> Self {
+    pub(crate) fn from_status(status: StatusCode) -> Self {
         match status {
             StatusCode::CONFLICT => Self::Fenced,
             StatusCode::TOO_MANY_REQUESTS => Self::Busy,
--- a/peers/engine/src/lib.rs
+++ b/peers/engine/src/lib.rs
@@ -1,15 +1,15 @@
-//! Protocol spoken with the platform: ranks of engines and the weights store.
+//! Protocol between agents and the platform: engine ranks and the weights store.
 //!
-//! A rank takes a [`RankRequest`] posted to [`rank_path`] and answers with its
-//! [`RankState`] once the order is carried out: an order to run a step is
-//! answered when all ranks have finished the step. An order carries a fencing
-//! number; a rank may refuse a lower one than the highest that it has seen with
-//! status 409, or ignore the number. The agent is the only sender, and passes
-//! on the highest number that it knows itself.
+//! A rank accepts a [`RankRequest`] posted to [`rank_path`] and answers with its
+//! [`RankState`] once it has executed the order; an order to run a step is
+//! answered once all ranks have finished the step. Each order carries a fencing
+//! token: a rank rejects a token below the highest that it has received with
+//! status 409, or ignores tokens. The agent is the only sender and sends the
+//! highest token that it has received itself.
 //!
-//! The weights store and every agent serve the weights of one expert under
-//! [`WeightsKey::path`]. The header [`RATE_HEADER`] names the rate, in bytes a
-//! second, that the reader has leased; the store answers 429 beyond its own.
+//! The weights store and every agent serve the weights of one expert at
+//! [`WeightsKey::path`]. The header [`RATE_HEADER`] carries the rate leased by
+//! the reader, in bytes per second; the store answers 429 beyond its own rate.
 
 mod error;
 mod rank;
--- a/peers/engine/src/rank.rs
+++ b/peers/engine/src/rank.rs
@@ -1,4 +1,4 @@
-//! Orders from an agent to the rank beside it.
+//! Orders from an agent to the rank on the same instance.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,76 +11,76 @@
 
 use crate::PlatformError;
 
-/// Time allowed for connecting to the rank, which runs on the same instance.
+/// Connect timeout; short, since the rank runs on the same instance.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Largest answer of a rank, in bytes.
+/// Maximum size of a rank's answer.
 const MAX_STATE_BYTES: usize = 1 << 20;
 
-/// What an agent orders its rank to do.
+/// Order from an agent to its rank.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RankOrder {
-    /// Have the weights of a map in place.
+    /// Load the weights of a map, so that [`RankState::ready`] lists it.
     Load {
-        /// Map.
+        /// Identifier of the map.
         map: MapId,
-        /// Content.
+        /// Content of the map.
         content: Arc<ExpertMap>,
-        /// What to load; all of the rank's experts if none.
+        /// Experts to load; all of the rank's experts if `None`.
         loads: Option<Vec<Load>>,
     },
     /// Free the staged weights of a map.
     Free {
-        /// Map.
+        /// Identifier of the map.
         map: MapId,
     },
-    /// Run a step; answered when all ranks have finished it.
+    /// Run a step; answered once all ranks have finished it.
     Run {
-        /// Epoch that granted the step.
+        /// Epoch under which the step was granted.
         epoch: Epoch,
-        /// Step.
+        /// Number of the step.
         step: u64,
-        /// Map.
+        /// Map to run with.
         map: MapId,
     },
-    /// Give up the step that runs.
+    /// Abort the running step.
     Abort {
-        /// Step.
+        /// Number of the step.
         step: u64,
     },
-    /// Reach another state of models, adapters or role.
+    /// Change the loaded models, the adapters or the role.
     Change(Change),
 }
 
-/// An order with its fencing number.
+/// Order with its fencing token.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RankRequest {
-    /// Highest fencing number that the agent knows.
+    /// Highest fencing token that the agent has received.
     pub fence: Fence,
-    /// Order.
+    /// Order to execute.
     pub order: RankOrder,
 }
 
-/// What a rank reports of itself.
+/// State reported by a rank.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct RankState {
-    /// Highest fencing number seen.
+    /// Highest fencing token received.
     pub fence: Fence,
-    /// Last step finished.
+    /// Last completed step.
     pub step: u64,
-    /// Maps whose weights are in place.
+    /// Maps whose weights are loaded.
     pub ready: Vec<MapId>,
-    /// Models, adapters and role.
+    /// Loaded models, adapters and role.
     pub inventory: Inventory,
 }
 
-/// Path under which a rank takes orders.
+/// Returns the path at which a rank accepts orders and reports its state.
 pub fn rank_path(rank: u16) -> String {
     format!("/ranks/{rank}")
 }
 
-/// Client of one rank, for use on one thread.
+/// HTTP client of one rank, for use on one thread.
 #[derive(Clone)]
 pub struct RankClient {
     client: Client,
@@ -88,12 +88,12 @@
 }
 
 impl RankClient {
-    /// Opens a client that connects when it is first needed.
+    /// Creates a client that connects on first use.
     pub fn open(address: SocketAddr, rank: u16) -> Self {
         let connector = Connector::new().timeout(CONNECT_TIMEOUT);
         let client = Client::builder()
             .connector(connector)
-            // A step may wait for other ranks without bound; the agent aborts it.
+            // A step may wait for other ranks indefinitely; the agent aborts it.
             .disable_timeout()
             .disable_redirects()
             .finish();
@@ -103,35 +103,36 @@
         }
     }
 
-    /// Sends an order and waits until it is carried out.
+    /// Sends an order and waits until the rank has executed it.
     ///
     /// # Errors
     ///
-    /// Says whether the rank may have seen the order.
+    /// Fails with [`PlatformError::Unreachable`] if the rank cannot have received the order; after
+    /// any other error it may have.
     pub async fn order(&self, request: &RankRequest) -> Result<RankState, PlatformError> {
         let mut answer = self.client.post(&self.url).send_json(request).await?;
         if !answer.status().is_success() {
-            return Err(PlatformError::of_status(answer.status()));
+            return Err(PlatformError::from_status(answer.status()));
         }
         let body = answer.body().limit(MAX_STATE_BYTES).await?;
-        read_state(&body)
+        parse_state(&body)
     }
 
-    /// Asks for the rank's state.
+    /// Fetches the rank's state.
     ///
     /// # Errors
     ///
-    /// Fails if the rank cannot be reached or breaks off.
+    /// Fails if the rank is unreachable, the connection fails or the answer is not a state.
     pub async fn state(&self) -> Result<RankState, PlatformError> {
         let mut answer = self.client.get(&self.url).send().await?;
         if !answer.status().is_success() {
-            return Err(PlatformError::of_status(answer.status()));
+            return Err(PlatformError::from_status(answer.status()));
         }
         let body = answer.body().limit(MAX_STATE_BYTES).await?;
-        read_state(&body)
+        parse_state(&body)
     }
 }
 
-fn read_state(body: &[u8]) -> Result<RankState, PlatformError> {
+fn parse_state(body: &[u8]) -> Result<RankState, PlatformError> {
     serde_json::from_slice(body).map_err(|e| PlatformError::Malformed(e.to_string()))
 }
--- a/peers/engine/src/weights.rs
+++ b/peers/engine/src/weights.rs
@@ -1,4 +1,4 @@
-//! Reading weights from the store or from a peer, at a leased rate.
+//! Reads weights from the store or from a peer at a leased rate.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -11,42 +11,42 @@
 
 use crate::PlatformError;
 
-/// Header with the rate that the reader has leased, bytes a second.
+/// Header with the rate leased by the reader, in bytes per second.
 pub const RATE_HEADER: &str = "x-weights-rate";
 
-/// Time allowed for connecting.
+/// Connect timeout for the store and for peers on other instances.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Weights of one expert in one layer.
+/// Key of the weights of one expert in one layer.
 #[derive(Clone, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[display("{model}@{version}/{layer}/{expert}")]
 pub struct WeightsKey {
-    /// Model.
+    /// Name of the model.
     pub model: ModelName,
-    /// Version.
+    /// Version of the model.
     pub version: VersionName,
-    /// Layer.
+    /// Index of the layer.
     pub layer: u16,
-    /// Expert.
+    /// Index of the expert in the layer.
     pub expert: u16,
 }
 
 impl WeightsKey {
-    /// Path under which the weights are served.
+    /// Returns the path at which the weights are served.
     pub fn path(&self) -> String {
         let (model, version) = (&self.model, &self.version);
         format!("/weights/{model}/{version}/{}/{}", self.layer, self.expert)
     }
 }
 
-/// Client of the weights store and of peers, for use on one thread.
+/// HTTP client of the weights store and of peers, for use on one thread.
 #[derive(Clone)]
 pub struct WeightsClient {
     client: Client,
 }
 
 impl WeightsClient {
-    /// Opens a client that connects when it is first needed.
+    /// Creates a client that connects on first use.
     pub fn open() -> Self {
         let connector = Connector::new().timeout(CONNECT_TIMEOUT);
         let client = Client::builder()
@@ -57,11 +57,11 @@
         Self { client }
     }
 
-    /// Reads weights at `rate` bytes a second at most, and returns their size.
+    /// Reads weights at no more than `rate` bytes per second and returns their size in bytes.
     ///
     /// # Errors
     ///
-    /// Fails if the source cannot be reached, breaks off or has no room.
+    /// Fails if the source is unreachable, rejects the request or closes the connection early.
     pub async fn fetch(
         &self,
         address: SocketAddr,
@@ -73,20 +73,20 @@
         let request = request.insert_header((RATE_HEADER, rate.to_string()));
         let mut answer = request.send().await?;
         if !answer.status().is_success() {
-            return Err(PlatformError::of_status(answer.status()));
+            return Err(PlatformError::from_status(answer.status()));
         }
         let start = Instant::now();
         let mut size = 0;
         while let Some(chunk) = answer.next().await {
             size += chunk?.len() as u64;
-            pace(start, size, rate).await;
+            throttle(start, size, rate).await;
         }
         Ok(size)
     }
 }
 
-/// Waits until `size` bytes have been due at `rate` since `start`.
-async fn pace(start: Instant, size: u64, rate: u64) {
+/// Sleeps until `size` bytes are due at `rate` bytes per second since `start`.
+async fn throttle(start: Instant, size: u64, rate: u64) {
     let due = Duration::from_secs_f64(size as f64 / rate.max(1) as f64);
     let ahead = due.saturating_sub(start.elapsed());
     if !ahead.is_zero() {
--- a/peers/engine/tests/it/main.rs
+++ b/peers/engine/tests/it/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the platform protocol against stand-ins over real sockets.
+//! Integration tests of the platform protocol against simulated ranks and stores over TCP.
 
 mod ranks;
 mod weights;
--- a/peers/engine/tests/it/ranks.rs
+++ b/peers/engine/tests/it/ranks.rs
@@ -1,4 +1,4 @@
-//! Orders to ranks that run in lock-step, with and without a check of the number.
+//! Orders to ranks that run in lock-step, with and without checks of the fencing token.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -52,7 +52,7 @@
 }
 
 #[actix_rt::test]
-async fn a_step_ends_when_all_ranks_have_started_it() {
+async fn step_completes_once_all_ranks_have_started_it() {
     let group = group(true);
     let ranks = clients(group.address());
     for rank in &ranks {
@@ -70,40 +70,40 @@
 }
 
 #[actix_rt::test]
-async fn an_aborted_step_does_not_end() {
+async fn aborted_step_does_not_complete() {
     let group = group(true);
     let ranks = clients(group.address());
     let step = run(1);
     let abort = request(1, RankOrder::Abort { step: 1 });
-    let wait = async {
+    let abort_once_running = async {
         while group.ledger().is_empty() {
             actix_rt::time::sleep(Duration::from_millis(1)).await;
         }
         ranks[0].order(&abort).await
     };
-    let (ended, aborted) = futures_util::join!(ranks[0].order(&step), wait);
-    assert_eq!(ended, Err(PlatformError::Status(410)));
+    let (run, aborted) = futures_util::join!(ranks[0].order(&step), abort_once_running);
+    assert_eq!(run, Err(PlatformError::Status(410)));
     assert_eq!(aborted.expect("aborted").step, 0);
     group.stop().await;
 }
 
 #[actix_rt::test]
-async fn only_ranks_that_check_refuse_an_old_number() {
+async fn only_fenced_ranks_reject_an_outdated_token() {
     for fenced in [true, false] {
         let group = group(fenced);
         let rank = RankClient::open(group.address(), 1);
         rank.order(&load(5, 1)).await.expect("loaded");
-        let old = rank.order(&load(4, 2)).await;
+        let outdated = rank.order(&load(4, 2)).await;
         match fenced {
-            true => assert_eq!(old, Err(PlatformError::Fenced)),
-            false => assert_eq!(old.expect("ignored").ready, [MapId(1), MapId(2)]),
+            true => assert_eq!(outdated, Err(PlatformError::Fenced)),
+            false => assert_eq!(outdated.expect("ignored").ready, [MapId(1), MapId(2)]),
         }
         group.stop().await;
     }
 }
 
 #[actix_rt::test]
-async fn a_change_shows_in_the_state() {
+async fn change_is_reported_in_the_state() {
     let group = group(true);
     let rank = RankClient::open(group.address(), 0);
     let change = Change::Load(ModelName::from("advice"), VersionName::from("v2"));
--- a/peers/engine/tests/it/weights.rs
+++ b/peers/engine/tests/it/weights.rs
@@ -38,7 +38,7 @@
 }
 
 #[actix_rt::test]
-async fn readers_beyond_the_rate_are_turned_away() {
+async fn readers_beyond_the_rate_are_rejected() {
     let store = store();
     let client = WeightsClient::open();
     let keys = [key(1), key(2)];
@@ -54,7 +54,7 @@
 }
 
 #[actix_rt::test]
-async fn a_missing_store_has_seen_nothing() {
+async fn missing_store_is_reported_as_unreachable() {
     let client = WeightsClient::open();
     let address = "127.0.0.1:1".parse().expect("address");
     let result = client.fetch(address, &key(1), RATE).await;
