--- a/peers/caller/src/call.rs
+++ b/peers/caller/src/call.rs
@@ -1,4 +1,4 @@
-//! What callers ask, and what they are answered.
+//! Requests of callers, their answers and the service behind the interface.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -13,51 +13,51 @@
 };
 use serde::{Deserialize, Serialize};
 
-/// One request of a caller.
+/// Parsed request of a caller.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Call {
-    /// Identifier given on arrival.
+    /// Identifier assigned on arrival.
     pub id: RequestId,
-    /// Workspace; the entry's default if none.
+    /// Workspace of the caller; the entry's default if `None`.
     pub workspace: Option<WorkspaceName>,
-    /// Service that is asked by name.
+    /// Service requested by name; chosen by the model if `None`.
     pub service: Option<ServiceName>,
-    /// Model that is asked; none for plain services.
+    /// Requested model; `None` for plain services.
     pub model: Option<ModelName>,
-    /// Version of the model.
+    /// Requested version of the model.
     pub version: Option<VersionName>,
-    /// Adapter of the model.
+    /// Requested adapter of the model.
     pub adapter: Option<AdapterName>,
-    /// Priority that the caller wants.
+    /// Requested priority.
     pub priority: Option<Priority>,
-    /// Time that the caller allows.
+    /// Time allowed by the caller, from the arrival of the request.
     pub deadline: Option<Duration>,
-    /// Key that marks a retry.
+    /// Idempotency key, equal for all retries of a request.
     pub key: Option<IdempotencyKey>,
-    /// Whether the answer is to be streamed.
+    /// Whether to stream the answer.
     pub stream: bool,
-    /// Text by which prompts share a prefix.
+    /// Raw JSON of the prompt or messages, for prefix-aware placement; empty for plain services.
     pub prompt: Bytes,
     /// HTTP method.
     pub method: String,
     /// Path and query for the upstream.
     pub path: String,
-    /// Headers to pass on.
+    /// Headers to forward to the upstream.
     pub headers: Vec<(String, String)>,
-    /// Body.
+    /// Request body.
     pub body: Bytes,
 }
 
-/// Pieces of an answer as they arrive.
+/// Chunks of an answer in order of arrival.
 pub type PieceStream = Pin<Box<dyn Stream<Item = Result<Bytes, Failure>>>>;
 
 /// Body of an answer.
 pub enum AnswerBody {
-    /// All of it.
+    /// Complete body.
     Whole(Bytes),
-    /// Server-sent events; a failure is told by a last event of type `error`.
+    /// Server-sent events; a failure ends the stream with an event of type `error`.
     Events(PieceStream),
-    /// Parts of a long body; a failure breaks the connection off.
+    /// Chunks of a long body; a failure closes the connection.
     Parts(PieceStream),
 }
 
@@ -65,41 +65,41 @@
 pub struct Answer {
     /// HTTP status.
     pub status: u16,
-    /// Headers.
+    /// Response headers.
     pub headers: Vec<(String, String)>,
-    /// Body.
+    /// Response body.
     pub body: AnswerBody,
 }
 
-/// Which entries a caller should use.
+/// Entries that a caller should use.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EntryAdvice {
-    /// Addresses, best first.
+    /// Addresses with their zones, in order of preference.
     pub addresses: Vec<(SocketAddr, ZoneName)>,
-    /// How long to keep this answer.
+    /// Time for which the caller may cache this advice.
     pub keep: Duration,
 }
 
-/// Whether an entry serves callers.
+/// Health of an entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Health {
     /// Name of the instance.
     pub instance: InstanceName,
-    /// Whether it takes no new requests.
+    /// Whether the entry is stopping and accepts no new requests.
     pub stopping: bool,
 }
 
-/// Whatever places requests and runs them.
+/// Service that places and executes requests.
 pub trait Service: Clone + 'static {
-    /// Runs one request. Dropping the future gives the request up.
+    /// Executes one request; dropping the future cancels it.
     fn call(&self, call: Call) -> impl Future<Output = Result<Answer, Failure>> + 'static;
 
-    /// Names the entries that a caller in `zone` should use.
+    /// Returns the entries that a caller in `zone` should use.
     fn entries(&self, zone: Option<&str>) -> EntryAdvice;
 
-    /// Tells whether this entry serves callers.
+    /// Returns the health of this entry.
     fn health(&self) -> Health;
 
-    /// Names the models in service.
+    /// Returns the models in service.
     fn models(&self) -> Vec<ModelName>;
 }
--- a/peers/caller/src/lib.rs
+++ b/peers/caller/src/lib.rs
@@ -1,9 +1,9 @@
 //! HTTP interface for callers.
 //!
-//! The interface has the customary shape of completion servers, so that
-//! existing clients work, with problem documents for every refusal and failure.
-//! What is asked is parsed into a [`Call`] and handed to a [`Service`], which
-//! decides where it runs; nothing here knows about upstreams.
+//! The interface is compatible with common completion servers, so that existing
+//! clients work; every refusal and failure is a problem document. A request is
+//! parsed into a [`Call`] and passed to a [`Service`], which decides where it
+//! runs; this package is independent of the choice of upstreams.
 
 mod body;
 mod call;
--- a/peers/caller/src/parse.rs
+++ b/peers/caller/src/parse.rs
@@ -21,10 +21,10 @@
     VERSION_HEADER, WORKSPACE_HEADER,
 };
 
-/// Longest accepted deadline, in milliseconds.
+/// Maximum accepted deadline.
 const MAX_DEADLINE_MILLIS: u64 = 3_600_000;
 
-/// Headers that the deployment uses itself and does not pass on.
+/// Headers consumed by the entry and not forwarded.
 const OWN_HEADERS: [&str; 10] = [
     WORKSPACE_HEADER,
     SERVICE_HEADER,
@@ -38,7 +38,7 @@
     "accept-encoding",
 ];
 
-/// The members of a completion request that matter for placement.
+/// Members of a completion request that affect its placement.
 #[derive(Deserialize)]
 struct Completion<'a> {
     model: String,
@@ -50,7 +50,7 @@
     messages: Option<&'a RawValue>,
 }
 
-/// Parses a request for a completion; `chat` says which of the two shapes.
+/// Parses a completion request; `chat` selects `messages` over `prompt`.
 pub(crate) fn completion(
     request: &HttpRequest,
     id: RequestId,
@@ -71,7 +71,7 @@
     let prompt = Bytes::copy_from_slice(prompt.get().as_bytes());
     let (model, stream) = (ModelName::from(parsed.model), parsed.stream);
     let path = request.uri().path().to_owned();
-    let call = base(request, id, path, body)?;
+    let call = base_call(request, id, path, body)?;
     Ok(Call {
         model: Some(model),
         stream,
@@ -96,14 +96,20 @@
         .query()
         .map(|q| format!("?{q}"))
         .unwrap_or_default();
-    let call = base(request, id, format!("/{path}{query}"), body)?;
+    let call = base_call(request, id, format!("/{path}{query}"), body)?;
     Ok(Call {
         service: Some(ServiceName::from(service)),
         ..call
     })
 }
 
-fn base(request: &HttpRequest, id: RequestId, path: String, body: Bytes) -> Result<Call, Failure> {
+/// Parses the parts common to completions and plain services.
+fn base_call(
+    request: &HttpRequest,
+    id: RequestId,
+    path: String,
+    body: Bytes,
+) -> Result<Call, Failure> {
     let headers = request.headers();
     Ok(Call {
         id,
@@ -119,7 +125,7 @@
         prompt: Bytes::new(),
         method: request.method().to_string(),
         path,
-        headers: passed_on(headers)?,
+        headers: forwarded_headers(headers)?,
         body,
     })
 }
@@ -182,9 +188,11 @@
     Ok(Some(value))
 }
 
-/// Credentials of callers are not passed on, since upstreams belong to the deployment.
-fn passed_on(headers: &HeaderMap) -> Result<Vec<(String, String)>, Failure> {
-    let mut passed = Vec::new();
+/// Selects the headers to forward.
+///
+/// Callers' credentials are not forwarded, since upstreams belong to the deployment.
+fn forwarded_headers(headers: &HeaderMap) -> Result<Vec<(String, String)>, Failure> {
+    let mut forwarded = Vec::new();
     for (name, value) in headers {
         if is_hop_header(name) || OWN_HEADERS.contains(&name.as_str()) || name == "authorization" {
             continue;
@@ -195,9 +203,9 @@
             }
             continue;
         };
-        passed.push((name.to_string(), value.to_owned()));
+        forwarded.push((name.to_string(), value.to_owned()));
     }
-    Ok(passed)
+    Ok(forwarded)
 }
 
 fn invalid<D>(detail: D) -> Failure
--- a/peers/caller/src/problem.rs
+++ b/peers/caller/src/problem.rs
@@ -11,7 +11,7 @@
 
 const PROBLEM_TYPE: &str = "application/problem+json";
 
-/// Answers a failure with a problem document.
+/// Builds the response with a problem document for a failure.
 pub fn problem(failure: &Failure, id: RequestId) -> HttpResponse {
     let answer = failure.kind.response();
     let status = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
@@ -25,7 +25,7 @@
         .body(document(failure, id).to_string())
 }
 
-/// Last event of a stream that broke off.
+/// Builds the last event of a stream that failed, with the problem document as its data.
 pub fn error_event(failure: &Failure, id: RequestId) -> Bytes {
     Bytes::from(format!("event: error\ndata: {}\n\n", document(failure, id)))
 }
@@ -41,12 +41,12 @@
         "ran": failure.ran,
         "request": id,
         "retry_after": retry_seconds(failure),
-        // Existing clients of completion servers look for this member.
+        // Existing clients of completion servers read this member.
         "error": {"message": failure.detail, "type": failure.kind, "code": failure.kind},
     })
 }
 
-/// Seconds until asking again may help, rounded up.
+/// Returns the time after which a retry may succeed, in seconds, rounded up.
 fn retry_seconds(failure: &Failure) -> Option<u64> {
     failure
         .retry
--- a/peers/caller/src/routes.rs
+++ b/peers/caller/src/routes.rs
@@ -1,4 +1,4 @@
-//! Routes of the callers' interface.
+//! HTTP routes of the callers' interface.
 
 use actix_web::http::StatusCode;
 use actix_web::{HttpRequest, HttpResponse, web};
@@ -13,11 +13,11 @@
 use crate::problem::{error_event, problem};
 use crate::{REQUEST_HEADER, body, parse};
 
-/// Limits of one server.
+/// Request limits of one server.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Limits {
-    /// Largest request body, in bytes.
-    pub(crate) body: usize,
+    /// Maximum size of a request body.
+    pub(crate) max_body_bytes: usize,
 }
 
 #[derive(Deserialize)]
@@ -49,7 +49,7 @@
 fn resource(path: &str, route: actix_web::Route) -> actix_web::Resource {
     web::resource(path)
         .route(route)
-        .default_service(web::to(wrong_method))
+        .default_service(web::to(method_not_allowed))
 }
 
 async fn entries<S>(service: web::ThinData<S>, query: web::Query<EntriesQuery>) -> HttpResponse
@@ -93,7 +93,7 @@
     S: Service,
 {
     let id = new_id();
-    let call = body::read(payload, limits.body).await;
+    let call = body::read(payload, limits.max_body_bytes).await;
     let call = call.and_then(|body| parse::completion(&request, id, body, CHAT));
     respond(&service.0, id, call).await
 }
@@ -110,7 +110,7 @@
     let id = new_id();
     let name = request.match_info().get("service").unwrap_or_default();
     let path = request.match_info().get("path").unwrap_or_default();
-    let call = body::read(payload, limits.body).await;
+    let call = body::read(payload, limits.max_body_bytes).await;
     let call = call.and_then(|body| parse::plain(&request, id, body, name, path));
     respond(&service.0, id, call).await
 }
@@ -120,7 +120,7 @@
     problem(&Failure::new(ErrorKind::NotFound, detail), new_id())
 }
 
-async fn wrong_method(request: HttpRequest) -> HttpResponse {
+async fn method_not_allowed(request: HttpRequest) -> HttpResponse {
     let detail = format!(
         "{} is not supported at {}",
         request.method(),
@@ -138,12 +138,12 @@
         Err(failure) => Err(failure),
     };
     match answer {
-        Ok(answer) => write(answer, id),
+        Ok(answer) => into_response(answer, id),
         Err(failure) => problem(&failure, id),
     }
 }
 
-fn write(answer: Answer, id: RequestId) -> HttpResponse {
+fn into_response(answer: Answer, id: RequestId) -> HttpResponse {
     let status = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::BAD_GATEWAY);
     let mut response = HttpResponse::build(status);
     for (name, value) in &answer.headers {
@@ -157,7 +157,7 @@
     }
 }
 
-/// Ends a stream that fails with an event that says so.
+/// Appends an error event if the stream fails.
 fn with_error_event(
     pieces: PieceStream,
     id: RequestId,
--- a/peers/caller/src/server.rs
+++ b/peers/caller/src/server.rs
@@ -1,4 +1,4 @@
-//! A running server for callers.
+//! HTTP server for callers.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,26 +12,26 @@
 use crate::problem::problem;
 use crate::routes::{Limits, configure};
 
-/// Longest time for the head of a request.
+/// Maximum time for the head of a request to arrive.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// How long an idle connection is kept.
-const KEEP_ALIVE: Duration = Duration::from_secs(75);
+/// Time after which an idle connection is closed.
+const KEEP_ALIVE_TIMEOUT: Duration = Duration::from_secs(75);
 
-/// What a server for callers needs.
+/// Options of a server for callers.
 #[derive(Clone, Debug)]
 pub struct CallerOptions {
     /// Address to listen on; port 0 picks a free one.
     pub listen: SocketAddr,
-    /// Threads that serve.
+    /// Number of worker threads.
     pub threads: usize,
-    /// Largest request body, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub body: usize,
-    /// Longest time that a stop waits for running requests.
+    /// Maximum time for which a stop waits for running requests, rounded down to seconds.
     pub drain: Duration,
 }
 
-/// Why a server for callers could not start.
+/// Failure to bind the listener for callers.
 #[derive(Debug, Display)]
 #[display("listener for callers on {address}: {source}")]
 pub struct CallerError {
@@ -41,14 +41,14 @@
 
 impl std::error::Error for CallerError {}
 
-/// A running server for callers.
+/// Running HTTP server for callers.
 pub struct CallerServer {
     address: SocketAddr,
     handle: ServerHandle,
 }
 
 impl CallerServer {
-    /// Starts a server; `build` makes the service once on each thread.
+    /// Binds and starts a server; `build` creates the service once per worker thread.
     ///
     /// # Errors
     ///
@@ -62,7 +62,9 @@
             address: options.listen,
             source,
         };
-        let limits = web::Data::new(Limits { body: options.body });
+        let limits = web::Data::new(Limits {
+            max_body_bytes: options.body,
+        });
         let seconds = options.drain.as_secs();
         let server = HttpServer::new(move || {
             App::new()
@@ -74,7 +76,7 @@
         .workers(options.threads)
         .tcp_nodelay(true)
         .client_request_timeout(HEAD_TIMEOUT)
-        .keep_alive(KEEP_ALIVE)
+        .keep_alive(KEEP_ALIVE_TIMEOUT)
         .shutdown_timeout(seconds)
         .disable_signals()
         .bind(options.listen)
@@ -86,12 +88,13 @@
         Ok(Self { address, handle })
     }
 
-    /// Address that callers connect to.
+    /// Returns the bound address, with the actual port if port 0 was requested.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Accepts no new connections, lets running requests end, and stops.
+    /// Stops accepting connections and completes once running requests have ended or the drain
+    /// time has expired.
     pub async fn stop(self) {
         self.handle.stop(true).await;
     }
