--- a/app/src/entry/mod.rs
+++ b/app/src/entry/mod.rs
@@ -80,8 +80,8 @@
             &CallerOptions {
                 listen: settings.listen,
                 threads: settings.threads,
-                body: settings.body,
-                drain: settings.drain,
+                max_body_bytes: settings.body,
+                drain_timeout: settings.drain,
             },
             move || Dispatcher::new(Arc::clone(&shared), WorkClient::open(token.clone())),
         )?;
--- a/app/src/operator/mod.rs
+++ b/app/src/operator/mod.rs
@@ -41,7 +41,7 @@
     match request {
         Ok(request) => actix_rt::System::new().block_on(async {
             let client = Client::open(arguments.operators.clone());
-            let client = client.with_total(arguments.timeout);
+            let client = client.with_total_timeout(arguments.timeout);
             execute(&client, &arguments.envelope(), request).await
         }),
         Err(error) => misused(subcommand, &error),
--- a/peers/caller/src/server.rs
+++ b/peers/caller/src/server.rs
@@ -25,10 +25,10 @@
     pub listen: SocketAddr,
     /// Number of worker threads.
     pub threads: usize,
-    /// Maximum size of a request body, in bytes.
-    pub body: usize,
+    /// Maximum size of a request body.
+    pub max_body_bytes: usize,
     /// Maximum time for which a stop waits for running requests, rounded down to seconds.
-    pub drain: Duration,
+    pub drain_timeout: Duration,
 }
 
 /// Failure to bind the listener for callers.
@@ -63,9 +63,9 @@
             source,
         };
         let limits = web::Data::new(Limits {
-            max_body_bytes: options.body,
+            max_body_bytes: options.max_body_bytes,
         });
-        let seconds = options.drain.as_secs();
+        let seconds = options.drain_timeout.as_secs();
         let server = HttpServer::new(move || {
             App::new()
                 .app_data(web::ThinData(build()))
--- a/peers/operator/src/client/mod.rs
+++ b/peers/operator/src/client/mod.rs
@@ -60,7 +60,7 @@
 
     /// Sets the time limit of the whole request.
     #[must_use]
-    pub fn with_total(mut self, total: Duration) -> Self {
+    pub fn with_total_timeout(mut self, total: Duration) -> Self {
         self.total_timeout = total;
         self
     }
