--- a/app/src/fleet/entry/streaming.rs
+++ b/app/src/fleet/entry/streaming.rs
@@ -99,7 +99,7 @@
             }
         };
         match run.attempt.after(ended, &upstream, 0) {
-            Step::Again => run.cursor.restart(),
+            Step::Again => run.cursor.discard_partial(),
             Step::Answer(kind) => {
                 let failure = run
                     .attempt
@@ -166,7 +166,7 @@
         if let Err(failure) = run.resume(ended).await {
             pimentotide_observe::event(&BrokenOff {
                 request: &run.attempt.call.id,
-                events: run.cursor.passed(),
+                events: run.cursor.forwarded(),
                 kind: failure.kind.to_string(),
                 detail: &failure.detail,
                 after_ms: run.attempt.elapsed_ms(),
@@ -234,7 +234,7 @@
                 upstream: &source.held.upstream,
                 status: 200,
                 sends: self.attempt.sends,
-                events: self.cursor.passed(),
+                events: self.cursor.forwarded(),
                 after_ms: self.attempt.elapsed_ms(),
             });
             source.held.end(Outcome::Good);
@@ -247,12 +247,14 @@
         loop {
             let upstream = self.attempt.tried.last().cloned();
             let upstream = upstream.unwrap_or_else(|| "none".into());
-            let step = self.attempt.after(ended, &upstream, self.cursor.passed());
+            let step = self
+                .attempt
+                .after(ended, &upstream, self.cursor.forwarded());
             if step != Step::Again || self.attempt.left().is_zero() {
                 let detail = format!("{ended:?} at {upstream}");
                 return Err(self.attempt.failure(ErrorKind::StreamBroken, &detail));
             }
-            self.cursor.restart();
+            self.cursor.discard_partial();
             let last = self.cursor.last().map(|id| id.to_string());
             match self.attempt.send(last).await {
                 Ok(running) if running.answer.status.is_success() => {
--- a/dev/rig/src/caller.rs
+++ b/dev/rig/src/caller.rs
@@ -13,7 +13,7 @@
 use actix_rt::task::JoinHandle;
 use awc::{Client, ClientResponse};
 use futures_util::StreamExt;
-use pimentotide_upstream::whole_connector;
+use pimentotide_upstream::strict_eof_connector;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use serde::Serialize;
@@ -130,7 +130,7 @@
     /// Starts to offer load.
     pub(crate) fn spawn(options: &Options, known: Vec<SocketAddr>, zones: Vec<String>) -> Self {
         // A connection that closes early must not look like an answer that ended.
-        let connector = whole_connector(CONNECT_TIMEOUT).limit(4096);
+        let connector = strict_eof_connector(CONNECT_TIMEOUT).limit(4096);
         let client = Client::builder()
             .connector(connector)
             .disable_timeout()
--- a/peers/instance/src/work/client.rs
+++ b/peers/instance/src/work/client.rs
@@ -14,7 +14,7 @@
 use futures_util::{Stream, StreamExt};
 use pimentotide_model::RequestId;
 use pimentotide_outcome::Finding;
-use pimentotide_upstream::whole_connector;
+use pimentotide_upstream::strict_eof_connector;
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
@@ -76,7 +76,7 @@
 impl WorkClient {
     /// Creates a client that connects on first use.
     pub fn open(token: Token) -> Self {
-        let connector = whole_connector(CONNECT_TIMEOUT).limit(MAX_CONNECTIONS);
+        let connector = strict_eof_connector(CONNECT_TIMEOUT).limit(MAX_CONNECTIONS);
         let client = Client::builder()
             .connector(connector)
             .disable_timeout()
--- a/peers/upstream/src/client.rs
+++ b/peers/upstream/src/client.rs
@@ -11,7 +11,7 @@
 use derive_more::Display;
 use futures_util::{Stream, StreamExt};
 
-use crate::transport::whole_connector;
+use crate::transport::strict_eof_connector;
 
 /// Connect timeout; short, since the upstream runs on the same instance.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
@@ -79,7 +79,7 @@
     }
 
     fn with_keep_alive(keep_alive: Duration) -> Self {
-        let connector = whole_connector(CONNECT_TIMEOUT)
+        let connector = strict_eof_connector(CONNECT_TIMEOUT)
             .conn_keep_alive(keep_alive)
             .limit(MAX_CONNECTIONS);
         let client = Client::builder()
--- a/peers/upstream/src/cursor.rs
+++ b/peers/upstream/src/cursor.rs
@@ -32,7 +32,7 @@
 pub struct StreamCursor {
     splitter: EventSplitter,
     last: Option<u64>,
-    passed: u64,
+    forwarded: u64,
 }
 
 impl StreamCursor {
@@ -50,8 +50,8 @@
     }
 
     /// Returns the number of forwarded events.
-    pub fn passed(&self) -> u64 {
-        self.passed
+    pub fn forwarded(&self) -> u64 {
+        self.forwarded
     }
 
     /// Returns whether an incomplete event is buffered.
@@ -60,7 +60,7 @@
     }
 
     /// Discards an incomplete event before the stream resumes on another upstream.
-    pub fn restart(&mut self) {
+    pub fn discard_partial(&mut self) {
         self.splitter = EventSplitter::default();
     }
 
@@ -82,7 +82,7 @@
                 _ => {}
             }
             self.last = id.or(self.last);
-            self.passed += 1;
+            self.forwarded += 1;
             out.extend_from_slice(&event.0);
         }
         Ok(out.freeze())
--- a/peers/upstream/src/transport.rs
+++ b/peers/upstream/src/transport.rs
@@ -26,7 +26,7 @@
 
 /// TCP stream that returns an error at end of file.
 #[derive(Debug)]
-pub struct WholeStream {
+pub struct StrictEofStream {
     stream: TcpStream,
     /// Bytes of the first answer until its head is complete; `None` afterwards.
     head: Option<Vec<u8>>,
@@ -34,7 +34,7 @@
     buffered: Bytes,
 }
 
-impl WholeStream {
+impl StrictEofStream {
     fn new(stream: TcpStream) -> Self {
         Self {
             stream,
@@ -91,7 +91,7 @@
     head.starts_with(HTTP_1_1) && !bodiless && !text.lines().any(framed)
 }
 
-impl AsyncRead for WholeStream {
+impl AsyncRead for StrictEofStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -116,7 +116,7 @@
     }
 }
 
-impl AsyncWrite for WholeStream {
+impl AsyncWrite for StrictEofStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -134,7 +134,7 @@
     }
 }
 
-impl ActixStream for WholeStream {
+impl ActixStream for StrictEofStream {
     fn poll_read_ready(&self, cx: &mut Context<'_>) -> Poll<io::Result<Ready>> {
         ActixStream::poll_read_ready(&self.stream, cx)
     }
@@ -144,13 +144,13 @@
     }
 }
 
-/// Builds a connector of [`WholeStream`] connections with `TCP_NODELAY` set.
-pub fn whole_connector(
+/// Builds a connector of [`StrictEofStream`] connections with `TCP_NODELAY` set.
+pub fn strict_eof_connector(
     timeout: Duration,
 ) -> Connector<
     impl Service<
         ConnectInfo<Uri>,
-        Response = Connection<Uri, WholeStream>,
+        Response = Connection<Uri, StrictEofStream>,
         Error = ConnectError,
         Future: 'static,
     > + Clone
@@ -163,7 +163,7 @@
             let (stream, host) = connecting.await?.into_parts();
             // Failure is harmless: small writes are then only delayed by Nagle's algorithm.
             let _ = stream.set_nodelay(true);
-            Ok(Connection::new(host, WholeStream::new(stream)))
+            Ok(Connection::new(host, StrictEofStream::new(stream)))
         }
     });
     Connector::new().connector(connect).timeout(timeout)
