--- a/app/src/fleet/control/desk.rs
+++ b/app/src/fleet/control/desk.rs
@@ -64,7 +64,7 @@
         let start = Instant::now();
         let result = self
             .replica
-            .propose_when_led(command.encode(), LEADER_TIMEOUT);
+            .propose_with_leader(command.encode(), LEADER_TIMEOUT);
         let result = result.await;
         let result = result.map(|(_, reply)| Reply::decode(&reply));
         let reply = match &result {
--- a/app/src/fleet/control/membership.rs
+++ b/app/src/fleet/control/membership.rs
@@ -120,7 +120,7 @@
         let mut view = |name: &InstanceName, disk: DiskId, voter| {
             let peer = status.log.peers.iter().find(|p| p.name == *name);
             let last = last_contact.entry(name.clone()).or_insert(now);
-            if peer.is_none_or(|p| p.heard) {
+            if peer.is_none_or(|p| p.reachable) {
                 *last = now;
             }
             MemberView {
--- a/app/src/fleet/control/mod.rs
+++ b/app/src/fleet/control/mod.rs
@@ -129,11 +129,11 @@
                 .map(|(n, a)| (InstanceName::from(n), a)),
         );
     }
-    options.log.election = ELECTION_TIMEOUT;
-    options.log.heartbeat = HEARTBEAT_INTERVAL;
-    options.log.resend = RESEND_TIMEOUT;
-    options.patience = REQUEST_TIMEOUT;
+    options.log.election_timeout = ELECTION_TIMEOUT;
+    options.log.heartbeat_interval = HEARTBEAT_INTERVAL;
+    options.log.resend_timeout = RESEND_TIMEOUT;
+    options.request_timeout = REQUEST_TIMEOUT;
     options.stall = DISK_STALL_TIMEOUT;
-    options.compact = COMPACTION_ENTRIES;
+    options.compact_after = COMPACTION_ENTRIES;
     Ok(options)
 }
--- a/app/src/fleet/entry/streaming.rs
+++ b/app/src/fleet/entry/streaming.rs
@@ -98,7 +98,7 @@
             }
         };
         match run.attempt.next_step(ended, &upstream, 0) {
-            Step::Again => run.cursor.restart(),
+            Step::Again => run.cursor.discard_partial(),
             Step::Answer(kind) => {
                 let failure = run
                     .attempt
@@ -254,7 +254,7 @@
             let upstream = upstream.unwrap_or_else(|| "none".into());
             let step = self
                 .attempt
-                .next_step(ended, &upstream, self.cursor.passed());
+                .next_step(ended, &upstream, self.cursor.forwarded());
             if step != Step::Again || self.attempt.remaining().is_zero() {
                 let detail = format!("{ended:?} at {upstream}");
                 return Err(self.attempt.failure(ErrorKind::StreamBroken, &detail));
