--- a/app/src/fleet/control/desk.rs
+++ b/app/src/fleet/control/desk.rs
@@ -9,7 +9,7 @@
 use pimentotide_instance::replica::ReplicaHandle;
 use pimentotide_model::{ErrorKind, Failure, Time, UpstreamName, ZoneName};
 use pimentotide_observe::Metrics;
-use pimentotide_platform::{Control, Held, read_configuration};
+use pimentotide_platform::{Control, StoredConfiguration, read_configuration};
 use tokio::time::Instant as Deadline;
 
 use super::super::rpc::{Document, FleetView, Processes, RankCapacity, SeenRevisions, StateUpdate};
@@ -255,7 +255,7 @@
         self.replicate(&command).await
     }
 
-    async fn held(&self) -> Result<Held, Failure> {
+    async fn configuration(&self) -> Result<StoredConfiguration, Failure> {
         self.replica.read_index().await?;
         self.replica
             .query(|s, _| s.declared().map(|d| d.document.clone()))
--- a/app/src/fleet/entry/attempt.rs
+++ b/app/src/fleet/entry/attempt.rs
@@ -5,7 +5,7 @@
 
 use pimentotide_fleet::{Ended, Next, Outcome, Policy, RouteKind, Step, Ticket, next_step};
 use pimentotide_model::{Failure, ServiceName, Time, UpstreamName, WorkspaceName};
-use pimentotide_platform::{Answer, AnswerError, Call, Send, UpstreamClient};
+use pimentotide_platform::{Answer, AnswerError, Call, SendOptions, UpstreamClient};
 
 use super::state::{EntryState, OpenRequest};
 use crate::lines::{Interrupted, Placed};
@@ -116,11 +116,11 @@
         };
         let client = CLIENT.with(UpstreamClient::clone);
         let last = last_event.or_else(|| self.call.last_event.clone());
-        let send = Send {
+        let send = SendOptions {
             address: choice.address,
             upstream: &upstream,
             workspace: self.workspace.as_deref(),
-            left,
+            timeout: left,
             last_event: last.as_deref(),
             priority: self.priority,
         };
@@ -156,7 +156,7 @@
         }
         let upstream = guard.upstream.clone();
         if answer.not_run {
-            let outcome = if answer.elsewhere {
+            let outcome = if answer.misdirected {
                 Outcome::Gone
             } else {
                 Outcome::Full
--- a/app/src/fleet/entry/mod.rs
+++ b/app/src/fleet/entry/mod.rs
@@ -72,9 +72,9 @@
         let options = FrontendOptions {
             callers,
             ready,
-            connections: max_connections(settings),
-            idle: IDLE_TIMEOUT,
-            head: HEAD_TIMEOUT,
+            max_connections: connections(settings),
+            idle_timeout: IDLE,
+            head_timeout: HEAD,
         };
         let server = FrontendServer::bind(options, EntryRelay::new(state.clone()))?;
         let directory = open_directory(settings, CallerDirectory::new(state.clone(), settings))?;
--- a/app/src/fleet/scrape.rs
+++ b/app/src/fleet/scrape.rs
@@ -8,7 +8,7 @@
 
 use actix_web::web::{self, Data};
 use actix_web::{App, HttpResponse, HttpServer};
-use pimentotide_observe::{Drops, Exposition, Metrics, memory_bytes, open_descriptors};
+use pimentotide_observe::{DropCounter, Exposition, Metrics, memory_bytes, open_descriptors};
 
 /// HTTP path of the metrics.
 const METRICS_PATH: &str = "/metrics";
@@ -45,12 +45,8 @@
     }
 }
 
-/// Serves metrics at `address`; without an address they are discarded.
-///
-/// # Errors
-///
-/// Fails if the address cannot be bound.
-pub(super) fn serve(address: Option<SocketAddr>, drops: Drops) -> std::io::Result<Scraped> {
+/// Serves metrics at `address`, if there is one; without it they go nowhere.
+pub(super) fn serve(address: Option<SocketAddr>, drops: DropCounter) -> std::io::Result<Scraped> {
     let probes = Arc::default();
     let Some(address) = address else {
         let metrics = Metrics::none();
@@ -74,7 +70,7 @@
     Ok(scraped)
 }
 
-fn measure_process(metrics: &Metrics, drops: &Drops) {
+fn measure_process(metrics: &Metrics, drops: &DropCounter) {
     let dropped = drops.count();
     metrics.gauge("log.dropped_lines", ("class", "routine"), dropped.routine);
     metrics.gauge("log.dropped_lines", ("class", "other"), dropped.other);
--- a/app/tests/it/fleet.rs
+++ b/app/tests/it/fleet.rs
@@ -12,7 +12,7 @@
 
 use insta::assert_snapshot;
 use pimentotide_process::{Process, free_ports};
-use pimentotide_wire::{Template, in_order};
+use pimentotide_wire::{Template, normalize};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
@@ -105,7 +105,7 @@
     let mut answer = Vec::new();
     stream.read_to_end(&mut answer).await.ok()?;
     let text = String::from_utf8_lossy(&answer).into_owned();
-    Some(in_order(&text))
+    Some(normalize(&text))
 }
 
 /// Asks until the answer begins with `start`.
@@ -230,7 +230,7 @@
     )
     .await;
     let limit = Instant::now() + PATIENCE;
-    while !deployment.entry.has_ended() {
+    while !deployment.entry.has_exited() {
         assert!(Instant::now() < limit, "the entry does not end");
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
--- a/dev/bench/src/pair.rs
+++ b/dev/bench/src/pair.rs
@@ -46,8 +46,8 @@
     let engine = Engine::spawn(EngineOptions {
         agent: Some(agent.engine_address()),
         capacity: CAPACITY,
-        initial: CAPACITY,
-        first_token: Duration::from_millis(5),
+        initial_capacity: CAPACITY,
+        first_token_delay: Duration::from_millis(5),
         token_gap: Duration::from_millis(2),
         ..EngineOptions::model(ModelName::from(MODEL), VersionName::from("1"))
     })
--- a/dev/rig/src/deployment.rs
+++ b/dev/rig/src/deployment.rs
@@ -69,7 +69,7 @@
             let status = self.status().await.unwrap_or_default();
             let count = |key: &str| status[key].as_array().map_or(0, Vec::len);
             let mut processes = self.processes.iter_mut();
-            let ended = processes.find_map(|(name, (p, _))| p.has_ended().then_some(name));
+            let ended = processes.find_map(|(name, (p, _))| p.has_exited().then_some(name));
             if let Some(name) = ended {
                 // Another deployment on the same addresses would answer in its place.
                 return Err(format!("{name} has ended; are its addresses in use?"));
--- a/dev/soak/src/caller.rs
+++ b/dev/soak/src/caller.rs
@@ -170,7 +170,7 @@
 /// Compares an answer with the one that belongs to the request.
 fn judge(answer: &Message, id: u64, kind: Kind) -> Ending {
     if answer.status() != 200 {
-        return if answer.whole {
+        return if answer.complete {
             Ending::Refused(answer.status())
         } else {
             Ending::Broken
@@ -180,12 +180,12 @@
         Kind::Stream => (1..=EVENTS).map(|n| event_of(id, n)).collect(),
         Kind::Repeatable | Kind::Once | Kind::Parity(_) => body_of(id),
     };
-    if answer.whole && answer.body == expected {
+    if answer.complete && answer.body == expected {
         return Ending::Whole;
     }
-    if !answer.whole && expected.starts_with(&answer.body) {
+    if !answer.complete && expected.starts_with(&answer.body) {
         return Ending::Broken;
     }
     let shown: String = answer.body.chars().take(120).collect();
-    Ending::Wrong(format!("whole {}: {shown:?}", answer.whole))
+    Ending::Wrong(format!("whole {}: {shown:?}", answer.complete))
 }
--- a/dev/soak/src/cluster.rs
+++ b/dev/soak/src/cluster.rs
@@ -128,7 +128,7 @@
         let asking = async {
             let mut stream = TcpStream::connect(address).await.ok()?;
             stream.write_all(message.as_bytes()).await.ok()?;
-            read_message(&mut stream).await.filter(|m| m.whole)
+            read_message(&mut stream).await.filter(|m| m.complete)
         };
         tokio::time::timeout(ASK_LIMIT, asking).await.ok().flatten()
     }
@@ -204,7 +204,7 @@
         let told = self.notes.now();
         entry.process.terminate();
         let end = Instant::now() + STOP_LIMIT;
-        while Instant::now() < end && !entry.process.has_ended() {
+        while Instant::now() < end && !entry.process.has_exited() {
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
         let code = entry.process.exit_code();
--- a/dev/soak/src/upstream.rs
+++ b/dev/soak/src/upstream.rs
@@ -239,7 +239,7 @@
 impl Server {
     async fn answer(&self, mut stream: TcpStream) -> io::Result<()> {
         stream.set_nodelay(true)?;
-        let Some(request) = read_message(&mut stream).await.filter(|r| r.whole) else {
+        let Some(request) = read_message(&mut stream).await.filter(|r| r.complete) else {
             return Ok(());
         };
         let id: u64 = request.body.trim().parse().unwrap_or(0);
--- a/peers/engine/tests/it/ranks.rs
+++ b/peers/engine/tests/it/ranks.rs
@@ -16,8 +16,8 @@
         listen: "127.0.0.1:0".parse().expect("address"),
         ranks: RANKS,
         fenced,
-        step: Duration::from_millis(1),
-        load: Duration::from_millis(1),
+        step_duration: Duration::from_millis(1),
+        load_duration: Duration::from_millis(1),
     };
     RankGroup::spawn(options).expect("bound")
 }
@@ -111,7 +111,7 @@
     let order = request(1, RankOrder::Change(change.clone()));
     let state = rank.order(&order).await.expect("changed");
     assert!(state.inventory.meets(&change));
-    assert_eq!(group.acted(0), 1);
+    assert_eq!(group.applied_changes(0), 1);
     group.restart(0);
     assert!(!rank.state().await.expect("state").inventory.meets(&change));
     group.stop().await;
--- a/standin/src/announce.rs
+++ b/standin/src/announce.rs
@@ -25,6 +25,6 @@
                 log::debug!("announcement to {agent} failed: {e}");
             }
         }
-        tokio::time::sleep(core.options.announce).await;
+        tokio::time::sleep(core.options.announce_interval).await;
     }
 }
--- a/standin/src/answer.rs
+++ b/standin/src/answer.rs
@@ -93,7 +93,7 @@
 async fn prefill(run: &Run, plan: &Plan) {
     let core = run.core();
     let share = core.cached_share(&block_hashes(plan.prompt.as_bytes()));
-    let delay = core.options.first_token.mul_f64(1.0 - 0.8 * share);
+    let delay = core.options.first_token_delay.mul_f64(1.0 - 0.8 * share);
     tokio::time::sleep(core.scaled(delay)).await;
     while core.is_stalled() {
         tokio::time::sleep(STALL_PAUSE).await;
--- a/standin/src/core.rs
+++ b/standin/src/core.rs
@@ -98,7 +98,7 @@
         inner.ledger.cache_hits += hits as u64;
         inner.ledger.cache_lookups += blocks.len() as u64;
         for block in &blocks[hits..] {
-            inner.store(*block, self.options.blocks);
+            inner.store(*block, self.options.cache_blocks);
         }
         hits as f64 / blocks.len() as f64
     }
@@ -157,7 +157,7 @@
 
     fn bearable(&self, inner: &Inner) -> u32 {
         let options = &self.options;
-        let grown = options.initial + inner.finished / options.completions.max(1);
+        let grown = options.initial_capacity + inner.finished / options.completions_per_slot.max(1);
         grown.min(options.capacity)
     }
 
--- a/standin/src/options.rs
+++ b/standin/src/options.rs
@@ -23,17 +23,17 @@
     /// Requests at once when warm.
     pub capacity: u32,
     /// Requests at once right after a start.
-    pub initial: u32,
+    pub initial_capacity: u32,
     /// Completions that raise what it bears by one.
-    pub completions: u32,
+    pub completions_per_slot: u32,
     /// Time to the first token of an uncached prompt.
-    pub first_token: Duration,
+    pub first_token_delay: Duration,
     /// Time between tokens.
     pub token_gap: Duration,
     /// Time between announcements.
-    pub announce: Duration,
+    pub announce_interval: Duration,
     /// Prompt blocks kept in the cache.
-    pub blocks: usize,
+    pub cache_blocks: usize,
 }
 
 impl EngineOptions {
@@ -47,12 +47,12 @@
             version,
             services: Vec::new(),
             capacity: 16,
-            initial: 2,
-            completions: 2,
-            first_token: Duration::from_millis(20),
+            initial_capacity: 2,
+            completions_per_slot: 2,
+            first_token_delay: Duration::from_millis(20),
             token_gap: Duration::from_millis(5),
-            announce: Duration::from_millis(200),
-            blocks: 4096,
+            announce_interval: Duration::from_millis(200),
+            cache_blocks: 4096,
         }
     }
 
@@ -63,7 +63,7 @@
         Self {
             kind: ServiceKind::Plain,
             services,
-            first_token: Duration::from_millis(5),
+            first_token_delay: Duration::from_millis(5),
             ..base
         }
     }
--- a/standin/src/plain.rs
+++ b/standin/src/plain.rs
@@ -13,7 +13,7 @@
     let Some(mut run) = core.begin(&key, &body) else {
         return broken();
     };
-    tokio::time::sleep(core.scaled(core.options.first_token)).await;
+    tokio::time::sleep(core.scaled(core.options.first_token_delay)).await;
     while core.is_stalled() {
         tokio::time::sleep(std::time::Duration::from_millis(50)).await;
     }
--- a/standin/src/ranks.rs
+++ b/standin/src/ranks.rs
@@ -26,9 +26,9 @@
     /// Whether ranks refuse orders with an old fencing number.
     pub fenced: bool,
     /// Time of a step once all ranks have started it.
-    pub step: Duration,
+    pub step_duration: Duration,
     /// Time to load the weights of a map.
-    pub load: Duration,
+    pub load_duration: Duration,
 }
 
 /// Why a group of ranks could not start.
@@ -62,7 +62,7 @@
     ready: Vec<MapId>,
     inventory: Inventory,
     running: Option<(Epoch, u64)>,
-    acted: u64,
+    applied_changes: u64,
 }
 
 #[derive(Debug, Default)]
@@ -97,7 +97,7 @@
     }
 
     fn change(&mut self, change: Change) {
-        self.acted += 1;
+        self.applied_changes += 1;
         match change {
             Change::Load(model, version) => {
                 self.inventory.models.insert(model, version);
@@ -154,7 +154,7 @@
                 return false;
             }
         }
-        actix_rt::time::sleep(self.options.step).await;
+        actix_rt::time::sleep(self.options.step_duration).await;
         let mut books = self.books();
         let rank = &mut books.ranks[rank];
         if rank.running != Some((epoch, step)) {
@@ -185,7 +185,7 @@
     }
 
     async fn load(&self, rank: usize, map: MapId) {
-        actix_rt::time::sleep(self.options.load).await;
+        actix_rt::time::sleep(self.options.load_duration).await;
         let mut books = self.books();
         let ready = &mut books.ranks[rank].ready;
         if !ready.contains(&map) {
@@ -238,8 +238,8 @@
     }
 
     /// Changes of models, adapters or role that a rank has carried out.
-    pub fn acted(&self, rank: u16) -> u64 {
-        self.core.books().ranks[usize::from(rank)].acted
+    pub fn applied_changes(&self, rank: u16) -> u64 {
+        self.core.books().ranks[usize::from(rank)].applied_changes
     }
 
     /// Restarts a rank: it holds nothing, and has forgotten its fencing number.
--- a/support/observe/src/lib.rs
+++ b/support/observe/src/lib.rs
@@ -14,7 +14,7 @@
 
 pub use exposition::Exposition;
 pub use line::{Line, event};
-pub use logs::{Drops, LogError, Logs};
+pub use logs::{DropCounter, LogError, Logs};
 pub use metrics::{Metrics, MetricsError};
 pub use process::{memory_bytes, open_descriptors};
-pub use queue::{Dropped, LineQueue, pieces};
+pub use queue::{Dropped, LineQueue, split_lines};
--- a/support/observe/src/logs.rs
+++ b/support/observe/src/logs.rs
@@ -12,7 +12,7 @@
 use serde_json::json;
 
 use crate::line::{EVENT_TARGET, Line, ROUTINE_TARGET, body};
-use crate::queue::{Dropped, LineQueue, pieces};
+use crate::queue::{Dropped, LineQueue, split_lines};
 
 /// Most bytes in one write; pipes take as many whole, so that lines of several writers do not mix.
 const MAX_WRITE: usize = 4_096;
@@ -55,8 +55,8 @@
     }
 
     /// Counts the lines that were dropped; clones count the same.
-    pub fn drops(&self) -> Drops {
-        Drops(self.outlet.clone())
+    pub fn drops(&self) -> DropCounter {
+        DropCounter(self.outlet.clone())
     }
 }
 
@@ -68,9 +68,9 @@
 
 /// Counter of dropped lines.
 #[derive(Clone)]
-pub struct Drops(Outlet);
+pub struct DropCounter(Outlet);
 
-impl Drops {
+impl DropCounter {
     /// Lines dropped since the start.
     pub fn count(&self) -> Dropped {
         self.0.queue().dropped()
@@ -104,7 +104,7 @@
     fn write_out(&self) {
         loop {
             let text = self.next_lines();
-            for piece in pieces(&text, MAX_WRITE) {
+            for piece in split_lines(&text, MAX_WRITE) {
                 if let Err(e) = io::stdout().lock().write_all(piece.as_bytes()) {
                     // The log itself cannot tell it.
                     eprintln!("{} bytes of the log are lost: {e}", piece.len());
--- a/support/observe/src/queue.rs
+++ b/support/observe/src/queue.rs
@@ -121,7 +121,7 @@
 }
 
 /// Cuts text into pieces of whole lines, of at most `limit` bytes unless one line is longer.
-pub fn pieces(text: &str, limit: usize) -> Vec<&str> {
+pub fn split_lines(text: &str, limit: usize) -> Vec<&str> {
     let mut pieces = Vec::new();
     let (mut start, mut end) = (0, 0);
     for line in text.split_inclusive('\n') {
--- a/support/observe/tests/it/queue.rs
+++ b/support/observe/tests/it/queue.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use pimentotide_observe::{Dropped, LineQueue, pieces};
+use pimentotide_observe::{Dropped, LineQueue, split_lines};
 
 const LONG: usize = 1 << 10;
 
@@ -75,6 +75,6 @@
 #[test]
 fn writes_hold_whole_lines() {
     let text = "aaa\nbb\ncccccccccc\nd\n";
-    assert_eq!(pieces(text, 7), ["aaa\nbb\n", "cccccccccc\n", "d\n"]);
-    assert_eq!(pieces("", 7), Vec::<&str>::new());
+    assert_eq!(split_lines(text, 7), ["aaa\nbb\n", "cccccccccc\n", "d\n"]);
+    assert_eq!(split_lines("", 7), Vec::<&str>::new());
 }
--- a/support/process/src/process.rs
+++ b/support/process/src/process.rs
@@ -54,7 +54,7 @@
     }
 
     /// Whether the process has ended by itself.
-    pub fn has_ended(&mut self) -> bool {
+    pub fn has_exited(&mut self) -> bool {
         matches!(self.child.try_wait(), Ok(Some(_)))
     }
 
--- a/support/wire/src/lib.rs
+++ b/support/wire/src/lib.rs
@@ -63,7 +63,7 @@
     /// Body as far as it came, without its framing.
     pub body: String,
     /// Whether it came to its end.
-    pub whole: bool,
+    pub complete: bool,
 }
 
 impl Message {
@@ -87,7 +87,7 @@
 
     /// Whether the connection may be used again.
     pub fn keeps_connection(&self) -> bool {
-        self.whole && !self.header("connection").eq_ignore_ascii_case("close")
+        self.complete && !self.header("connection").eq_ignore_ascii_case("close")
     }
 }
 
@@ -112,19 +112,19 @@
     let mut rest = bytes.split_off(head + 4);
     if message.header("transfer-encoding").contains("chunked") {
         while !rest.ends_with(b"0\r\n\r\n") && more(stream, &mut rest).await {}
-        message.whole = rest.ends_with(b"0\r\n\r\n");
+        message.complete = rest.ends_with(b"0\r\n\r\n");
         message.body = unchunk(&rest);
         return Some(message);
     }
     let length = message.header("content-length").parse().unwrap_or(0);
     while rest.len() < length && more(stream, &mut rest).await {}
-    message.whole = rest.len() == length;
+    message.complete = rest.len() == length;
     message.body = String::from_utf8_lossy(&rest).into_owned();
     Some(message)
 }
 
 /// An answer as text, with its headers in order and without its date.
-pub fn in_order(text: &str) -> String {
+pub fn normalize(text: &str) -> String {
     let (head, body) = text.split_once("\r\n\r\n").unwrap_or((text, ""));
     let mut lines: Vec<&str> = head
         .lines()
