--- a/standin/src/announce.rs
+++ b/standin/src/announce.rs
@@ -1,4 +1,4 @@
-//! Announcements of a stand-in engine to its agent.
+//! Periodic announcements of a stand-in engine to its agent.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -8,7 +8,7 @@
 
 use crate::core::Core;
 
-/// Posts the engine's state until the task is dropped.
+/// Posts the engine's state at the announcement interval until the task is aborted.
 pub(crate) async fn run(core: Arc<Core>, address: SocketAddr) {
     let Some(agent) = core.options.agent else {
         return;
@@ -17,7 +17,7 @@
     loop {
         let state = core.announce(address);
         if let Ok(body) = serde_json::to_vec(&state) {
-            // A lost announcement is made good by the next one.
+            // Not retried: the next announcement replaces this one.
             let sent = client
                 .post_json(agent, ANNOUNCE_PATH, Bytes::from(body))
                 .await;
--- a/standin/src/answer.rs
+++ b/standin/src/answer.rs
@@ -14,11 +14,11 @@
 
 use crate::core::{Core, Run};
 
-/// Tokens of an answer unless the request says otherwise.
-const DEFAULT_TOKENS: u32 = 16;
+/// Number of answer tokens if the request sets no `max_tokens`.
+const DEFAULT_MAX_TOKENS: u32 = 16;
 
-/// Time between looks at whether a stall is over.
-const STALL_PAUSE: Duration = Duration::from_millis(50);
+/// Interval at which a stalled handler checks whether the stall has ended.
+const STALL_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 const VOCABULARY: [&str; 16] = [
     "oak", "pine", "clamp", "joint", "street", "closure", "school", "zone", "glue", "order",
@@ -35,7 +35,7 @@
     stream: bool,
 }
 
-struct Plan {
+struct Generation {
     model: String,
     prompt: String,
     tokens: u32,
@@ -55,7 +55,7 @@
     answer(&core.into_inner(), &request, &body, true).await
 }
 
-/// Key of a request in the ledger.
+/// Key of a request in the ledger: its idempotency key, else its request id.
 pub(crate) fn ledger_key(request: &HttpRequest) -> String {
     let header = |name| request.headers().get(name).and_then(|v| v.to_str().ok());
     let key = header(KEY_HEADER).or_else(|| header(REQUEST_HEADER));
@@ -70,85 +70,91 @@
         return HttpResponse::NotFound().json(json!({"error": "model not loaded"}));
     }
     let Some(run) = core.begin(&ledger_key(request), body) else {
-        return broken();
+        return aborted();
     };
-    let plan = Plan::new(&parsed, request, chat);
-    prefill(&run, &plan).await;
+    let generation = Generation::new(&parsed, request, chat);
+    prefill(&run, &generation).await;
     if parsed.stream {
         return HttpResponse::Ok()
             .content_type("text/event-stream")
-            .streaming(event_stream(run, plan));
+            .streaming(event_stream(run, generation));
     }
-    whole(run, &plan).await
+    complete_answer(run, &generation).await
 }
 
-/// An answer whose connection breaks before it is whole.
-pub(crate) fn broken() -> HttpResponse {
-    let cut = stream::iter([Err::<Bytes, _>(std::io::Error::other(
-        "the engine fell over",
-    ))]);
+/// Returns an answer whose connection is aborted before the first byte of the body.
+pub(crate) fn aborted() -> HttpResponse {
+    let cut = stream::iter([Err::<Bytes, _>(std::io::Error::other("the engine crashed"))]);
     HttpResponse::Ok().no_chunking(1).streaming(cut)
 }
 
-async fn prefill(run: &Run, plan: &Plan) {
+async fn prefill(run: &Run, generation: &Generation) {
     let core = run.core();
-    let share = core.cached_share(&block_hashes(plan.prompt.as_bytes()));
-    let delay = core.options.first_token_delay.mul_f64(1.0 - 0.8 * share);
+    let hit_ratio = core.cache_hit_ratio(&block_hashes(generation.prompt.as_bytes()));
+    let delay = core
+        .options
+        .first_token_delay
+        .mul_f64(1.0 - 0.8 * hit_ratio);
     tokio::time::sleep(core.scaled(delay)).await;
     while core.is_stalled() {
-        tokio::time::sleep(STALL_PAUSE).await;
+        tokio::time::sleep(STALL_POLL_INTERVAL).await;
     }
 }
 
-async fn whole(mut run: Run, plan: &Plan) -> HttpResponse {
+async fn complete_answer(mut run: Run, generation: &Generation) -> HttpResponse {
     let gap = run.core().scaled(run.core().options.token_gap);
-    for _ in 0..plan.tokens {
+    for _ in 0..generation.tokens {
         tokio::time::sleep(gap).await;
         while run.core().is_stalled() {
-            tokio::time::sleep(STALL_PAUSE).await;
+            tokio::time::sleep(STALL_POLL_INTERVAL).await;
         }
         if !run.is_current() {
-            return broken();
+            return aborted();
         }
         run.advance();
     }
-    let text: String = (0..plan.tokens).map(|i| plan.token(i)).collect();
-    let answer = plan.whole_answer(&text);
-    run.wrote(answer.to_string().len());
+    let text: String = (0..generation.tokens)
+        .map(|i| generation.token(i))
+        .collect();
+    let answer = generation.answer_body(&text);
+    run.add_bytes(answer.to_string().len());
     run.complete();
     HttpResponse::Ok().json(answer)
 }
 
-fn event_stream(run: Run, plan: Plan) -> impl Stream<Item = Result<Bytes, std::io::Error>> {
-    let next = plan.from;
-    stream::unfold(Some((run, plan, next)), |state| async move {
-        let (mut run, plan, next) = state?;
-        if next > plan.from {
+fn event_stream(
+    run: Run,
+    generation: Generation,
+) -> impl Stream<Item = Result<Bytes, std::io::Error>> {
+    let next = generation.from;
+    stream::unfold(Some((run, generation, next)), |state| async move {
+        let (mut run, generation, next) = state?;
+        if next > generation.from {
             let gap = run.core().scaled(run.core().options.token_gap);
             tokio::time::sleep(gap).await;
         }
         while run.core().is_stalled() {
-            tokio::time::sleep(STALL_PAUSE).await;
+            tokio::time::sleep(STALL_POLL_INTERVAL).await;
         }
         if !run.is_current() {
-            return Some((Err(std::io::Error::other("the engine fell over")), None));
+            return Some((Err(std::io::Error::other("the engine crashed")), None));
         }
-        if next == plan.tokens {
+        if next == generation.tokens {
             let event = Event::with_data(STREAM_END);
-            run.wrote(event.0.len());
+            run.add_bytes(event.0.len());
             run.complete();
-            // The run is over before its end is told.
+            // The run ends before the client receives the end of the stream.
             drop(run);
             return Some((Ok(event.0), None));
         }
         run.advance();
-        let event = Event::with_data(&plan.piece(next).to_string());
-        run.wrote(event.0.len());
-        Some((Ok(event.0), Some((run, plan, next + 1))))
+        let event = Event::with_data(&generation.chunk(next).to_string());
+        run.add_bytes(event.0.len());
+        Some((Ok(event.0), Some((run, generation, next + 1))))
     })
 }
 
-impl Plan {
+impl Generation {
     fn new(body: &Body, request: &HttpRequest, chat: bool) -> Self {
         let source = if chat { &body.messages } else { &body.prompt };
         let prompt = match source {
@@ -164,20 +170,20 @@
         Self {
             model: body.model.clone(),
             prompt,
-            tokens: body.max_tokens.unwrap_or(DEFAULT_TOKENS),
+            tokens: body.max_tokens.unwrap_or(DEFAULT_MAX_TOKENS),
             from: from.unwrap_or(0),
             chat,
         }
     }
 
-    /// Token at a position; depends on the prompt and the position alone.
+    /// Returns the token at a position; it depends only on the prompt and the position.
     fn token(&self, position: u32) -> String {
         let hash = blake3::hash(format!("{position}:{}", self.prompt).as_bytes());
         let word = VOCABULARY[usize::from(hash.as_bytes()[0]) % VOCABULARY.len()];
         format!("{word} ")
     }
 
-    fn piece(&self, position: u32) -> Value {
+    fn chunk(&self, position: u32) -> Value {
         let text = self.token(position);
         if self.chat {
             return json!({
@@ -193,7 +199,7 @@
         })
     }
 
-    fn whole_answer(&self, text: &str) -> Value {
+    fn answer_body(&self, text: &str) -> Value {
         let usage = json!({"completion_tokens": self.tokens});
         if self.chat {
             let message = json!({"role": "assistant", "content": text});
--- a/standin/src/control.rs
+++ b/standin/src/control.rs
@@ -1,18 +1,18 @@
-//! Faults that a test or an experiment sets on a stand-in engine.
+//! Faults that tests and experiments inject into a stand-in engine.
 
 use serde::{Deserialize, Serialize};
 
-/// How the engine behaves from now on; posted as JSON to `/control`.
+/// Faults in effect from now on; posted as JSON to `/control`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Control {
-    /// Restarts cold at once; what runs is broken off.
+    /// Restarts the engine cold at once and aborts its runs.
     pub restart: bool,
-    /// Accepts work and makes no progress.
+    /// Accepts requests but makes no progress on them.
     pub stall: bool,
-    /// Factor on all delays.
+    /// Factor applied to all delays, at least 0.01.
     pub slowness: f64,
-    /// Requests whose body holds this text crash the engine.
+    /// Requests whose body contains this text crash the engine; `None` disables it.
     pub crash_on: Option<String>,
 }
 
--- a/standin/src/core.rs
+++ b/standin/src/core.rs
@@ -10,13 +10,13 @@
 
 use crate::{Control, EngineOptions, Ledger};
 
-/// Cache events kept for the next announcement at most; older ones are lost.
-const MAX_EVENTS: usize = 1024;
+/// Maximum number of cache events kept for the next announcement; the oldest are dropped.
+const MAX_CACHE_EVENTS: usize = 1024;
 
-/// Load over what it bears, as a multiple, at which an engine falls over.
-const CRASH_FACTOR: u32 = 2;
+/// An engine crashes when its running requests exceed its current capacity by this factor.
+const CRASH_LOAD_FACTOR: u32 = 2;
 
-/// One stand-in engine.
+/// State of one stand-in engine.
 pub(crate) struct Core {
     pub(crate) options: EngineOptions,
     inner: Mutex<Inner>,
@@ -34,13 +34,13 @@
     control: Control,
 }
 
-/// A run in progress; ends as broken off unless [`Run::complete`] is called.
+/// Run in progress; recorded as aborted on drop unless [`Run::complete`] was called.
 pub(crate) struct Run {
     core: std::sync::Arc<Core>,
     id: String,
     incarnation: u64,
     bytes: u64,
-    whole: bool,
+    completed: bool,
 }
 
 impl Core {
@@ -62,14 +62,14 @@
         }
     }
 
-    /// Begins a run; none if the engine fell over instead.
+    /// Starts a run; `None` if the request crashed the engine.
     pub(crate) fn begin(self: &std::sync::Arc<Self>, id: &str, body: &[u8]) -> Option<Run> {
         let mut inner = self.lock();
-        let bearable = self.bearable(&inner);
+        let capacity = self.current_capacity(&inner);
         inner.running += 1;
         let (started, running) = (inner.started, inner.running);
-        inner.ledger.begin(id, started, running, bearable);
-        if running > bearable * CRASH_FACTOR || inner.crashes_on(body) {
+        inner.ledger.begin(id, started, running, capacity);
+        if running > capacity * CRASH_LOAD_FACTOR || inner.crashes_on(body) {
             inner.ledger.crashes += 1;
             inner.ledger.end(id, false, 0);
             inner.restart();
@@ -81,12 +81,12 @@
             id: id.to_owned(),
             incarnation: started,
             bytes: 0,
-            whole: false,
+            completed: false,
         })
     }
 
-    /// Looks up and stores the blocks of a prompt; returns the share that was cached.
-    pub(crate) fn cached_share(&self, blocks: &[u64]) -> f64 {
+    /// Looks up the blocks of a prompt, caches the missing ones and returns the hit ratio.
+    pub(crate) fn cache_hit_ratio(&self, blocks: &[u64]) -> f64 {
         if blocks.is_empty() {
             return 0.0;
         }
@@ -103,7 +103,7 @@
         hits as f64 / blocks.len() as f64
     }
 
-    /// State to announce; takes the cache events along.
+    /// Returns the state to announce, including the cache events since the last call.
     pub(crate) fn announce(&self, address: SocketAddr) -> EngineState {
         let mut inner = self.lock();
         let options = &self.options;
@@ -145,20 +145,21 @@
         };
     }
 
-    /// Whether the engine accepts work but makes no progress.
+    /// Whether the engine accepts requests but makes no progress on them.
     pub(crate) fn is_stalled(&self) -> bool {
         self.lock().control.stall
     }
 
-    /// Scales a delay by the slowness that was set.
+    /// Scales a delay by the injected slowness.
     pub(crate) fn scaled(&self, delay: Duration) -> Duration {
         delay.mul_f64(self.lock().control.slowness.max(0.01))
     }
 
-    fn bearable(&self, inner: &Inner) -> u32 {
+    fn current_capacity(&self, inner: &Inner) -> u32 {
         let options = &self.options;
-        let grown = options.initial_capacity + inner.finished / options.completions_per_slot.max(1);
-        grown.min(options.capacity)
+        let warmed_up =
+            options.initial_capacity + inner.finished / options.completions_per_slot.max(1);
+        warmed_up.min(options.capacity)
     }
 
     fn lock(&self) -> MutexGuard<'_, Inner> {
@@ -181,10 +182,10 @@
         self.sequence = 0;
     }
 
-    fn store(&mut self, block: u64, bound: usize) {
+    fn store(&mut self, block: u64, max_blocks: usize) {
         self.cache.push_back(block);
         self.push_event(CacheChange::Stored, block);
-        if self.cache.len() > bound
+        if self.cache.len() > max_blocks
             && let Some(old) = self.cache.pop_front()
         {
             self.push_event(CacheChange::Evicted, old);
@@ -193,7 +194,7 @@
 
     fn push_event(&mut self, change: CacheChange, block: u64) {
         self.sequence += 1;
-        if self.events.len() == MAX_EVENTS {
+        if self.events.len() == MAX_CACHE_EVENTS {
             self.events.pop_front();
         }
         self.events.push_back(CacheEvent {
@@ -205,7 +206,7 @@
 }
 
 impl Run {
-    /// Whether the engine still is the one that began this run.
+    /// Whether the engine has not restarted since this run started.
     pub(crate) fn is_current(&self) -> bool {
         self.core.lock().started == self.incarnation
     }
@@ -214,17 +215,17 @@
         &self.core
     }
 
-    pub(crate) fn wrote(&mut self, bytes: usize) {
+    pub(crate) fn add_bytes(&mut self, bytes: usize) {
         self.bytes += bytes as u64;
     }
 
-    /// Notes that a token was generated.
+    /// Records that a token was generated.
     pub(crate) fn advance(&self) {
         self.core.lock().progress += 1;
     }
 
     pub(crate) fn complete(&mut self) {
-        self.whole = true;
+        self.completed = true;
     }
 }
 
@@ -234,10 +235,10 @@
         let current = inner.started == self.incarnation;
         inner
             .ledger
-            .end(&self.id, self.whole && current, self.bytes);
+            .end(&self.id, self.completed && current, self.bytes);
         if current {
             inner.running -= 1;
-            inner.finished += u32::from(self.whole);
+            inner.finished += u32::from(self.completed);
         }
     }
 }
--- a/standin/src/engine.rs
+++ b/standin/src/engine.rs
@@ -1,4 +1,4 @@
-//! A running stand-in engine.
+//! Start, control and stop of a stand-in engine.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,21 +13,21 @@
 use crate::serve::serve;
 use crate::{Control, EngineOptions, Ledger, announce, answer, plain};
 
-/// Largest request body, in bytes.
+/// Maximum size of a request body.
 const MAX_BODY_BYTES: usize = 16 << 20;
 
-/// Why an engine could not start.
+/// Error of starting an engine.
 #[derive(Debug, Display)]
 #[display("stand-in engine on {address}: {source}")]
 pub struct EngineError {
-    /// Address that was asked for.
+    /// Address that could not be bound.
     pub address: SocketAddr,
     source: std::io::Error,
 }
 
 impl std::error::Error for EngineError {}
 
-/// A running stand-in engine.
+/// Running stand-in engine.
 pub struct Engine {
     address: SocketAddr,
     core: Arc<Core>,
@@ -59,22 +59,22 @@
         })
     }
 
-    /// Address that takes work.
+    /// Address that accepts requests.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// What has run so far.
+    /// Returns the record of all runs so far.
     pub fn ledger(&self) -> Ledger {
         self.core.ledger()
     }
 
-    /// Sets how the engine behaves from now on.
+    /// Replaces the injected faults.
     pub fn control(&self, control: Control) {
         self.core.control(control);
     }
 
-    /// Stops the engine; running requests end first if `graceful`.
+    /// Stops the engine, after the running requests if `graceful`.
     pub async fn stop(self, graceful: bool) {
         self.announcer.abort();
         self.server.stop(graceful).await;
--- a/standin/src/lib.rs
+++ b/standin/src/lib.rs
@@ -1,9 +1,10 @@
 //! Stand-in engines and plain services for local use and tests.
 //!
-//! An [`Engine`] speaks the upstream protocol over real sockets: it announces
-//! itself, generates tokens that depend only on the prompt, batches, caches
-//! prefixes, resumes a stream at a position, starts cold and fails on demand.
-//! Its ledger counts what really ran, independently of the system it serves.
+//! An [`Engine`] implements the upstream protocol over real sockets: it sends
+//! announcements, generates tokens that depend only on the prompt, batches,
+//! caches prefixes, resumes a stream at a position, starts cold and fails on
+//! demand. Its ledger counts the actual runs, independently of the system under
+//! test.
 
 mod announce;
 mod answer;
--- a/standin/src/options.rs
+++ b/standin/src/options.rs
@@ -1,4 +1,4 @@
-//! What a stand-in engine is like.
+//! Options of a stand-in engine.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,34 +10,34 @@
 pub struct EngineOptions {
     /// Address to serve on; port 0 picks a free one.
     pub listen: SocketAddr,
-    /// Agent to announce to; none announces nowhere.
+    /// Agent that receives announcements; `None` sends none.
     pub agent: Option<SocketAddr>,
-    /// Whether a model engine or a plain service.
+    /// Kind of service: model engine or plain service.
     pub kind: ServiceKind,
-    /// Model that is loaded.
+    /// Loaded model; empty for a plain service.
     pub model: ModelName,
-    /// Version that is loaded.
+    /// Loaded version; empty for a plain service.
     pub version: VersionName,
-    /// Services that a plain service offers.
+    /// Services offered by a plain service.
     pub services: Vec<ServiceName>,
-    /// Requests at once when warm.
+    /// Maximum concurrency when warm.
     pub capacity: u32,
-    /// Requests at once right after a start.
+    /// Maximum concurrency right after a start.
     pub initial_capacity: u32,
-    /// Completions that raise what it bears by one.
+    /// Completed runs that raise the current capacity by one.
     pub completions_per_slot: u32,
     /// Time to the first token of an uncached prompt.
     pub first_token_delay: Duration,
     /// Time between tokens.
     pub token_gap: Duration,
-    /// Time between announcements.
+    /// Interval between announcements.
     pub announce_interval: Duration,
-    /// Prompt blocks kept in the cache.
+    /// Maximum number of prompt blocks in the cache.
     pub cache_blocks: usize,
 }
 
 impl EngineOptions {
-    /// A model engine on a free loopback port.
+    /// Returns options of a model engine on a free loopback port.
     pub fn model(model: ModelName, version: VersionName) -> Self {
         Self {
             listen: SocketAddr::from(([127, 0, 0, 1], 0)),
@@ -56,7 +56,7 @@
         }
     }
 
-    /// A plain service on a free loopback port.
+    /// Returns options of a plain service on a free loopback port.
     pub fn plain(services: Vec<ServiceName>) -> Self {
         let none = (ModelName::from(""), VersionName::from(""));
         let base = Self::model(none.0, none.1);
--- a/standin/src/ranks.rs
+++ b/standin/src/ranks.rs
@@ -1,4 +1,4 @@
-//! Stand-in ranks that run in lock-step, with a ledger of their steps.
+//! Stand-in group of ranks that run in lock-step, with a ledger of the started steps.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -16,42 +16,42 @@
 
 use crate::serve::serve;
 
-/// Behaviour of a group of ranks.
+/// Options of a group of ranks.
 #[derive(Clone, Debug)]
 pub struct RankOptions {
-    /// Address to listen on.
+    /// Address to listen on; port 0 picks a free one.
     pub listen: SocketAddr,
-    /// Ranks in the group.
+    /// Number of ranks in the group.
     pub ranks: u16,
-    /// Whether ranks refuse orders with an old fencing number.
+    /// Whether ranks reject orders with an old fencing token.
     pub fenced: bool,
-    /// Time of a step once all ranks have started it.
+    /// Duration of a step once all ranks have started it.
     pub step_duration: Duration,
-    /// Time to load the weights of a map.
+    /// Duration of loading the weights of a map.
     pub load_duration: Duration,
 }
 
-/// Why a group of ranks could not start.
+/// Error of starting a group of ranks.
 #[derive(Debug, Display)]
 #[display("stand-in ranks on {address}: {source}")]
 pub struct RankGroupError {
-    /// Address that was asked for.
+    /// Address that could not be bound.
     pub address: SocketAddr,
     source: std::io::Error,
 }
 
 impl std::error::Error for RankGroupError {}
 
-/// One start of one step on one rank.
+/// Start of a step on a rank.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct StepRecord {
     /// Epoch that granted the step.
     pub epoch: Epoch,
-    /// Step.
+    /// Number of the step.
     pub step: u64,
-    /// Rank.
+    /// Rank that started the step.
     pub rank: u16,
-    /// Map that the rank ran it under.
+    /// Expert map that the rank used.
     pub map: MapId,
 }
 
@@ -66,7 +66,7 @@
 }
 
 #[derive(Debug, Default)]
-struct Books {
+struct GroupState {
     ranks: Vec<Rank>,
     ledger: Vec<StepRecord>,
     started: BTreeMap<(Epoch, u64), u16>,
@@ -74,12 +74,12 @@
 
 struct Core {
     options: RankOptions,
-    books: Mutex<Books>,
-    /// Raised whenever a step may have gone on.
+    group: Mutex<GroupState>,
+    /// Notified whenever a step is started or aborted or a rank restarts.
     changed: watch::Sender<()>,
 }
 
-/// A running group of ranks.
+/// Running group of ranks.
 pub struct RankGroup {
     address: SocketAddr,
     core: Arc<Core>,
@@ -117,18 +117,18 @@
 }
 
 impl Core {
-    fn books(&self) -> MutexGuard<'_, Books> {
-        self.books.lock().unwrap_or_else(PoisonError::into_inner)
+    fn group(&self) -> MutexGuard<'_, GroupState> {
+        self.group.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     fn state(&self, rank: usize) -> RankState {
-        self.books().ranks[rank].state()
+        self.group().ranks[rank].state()
     }
 
-    /// Whether the rank takes an order with this fencing number.
-    fn admit(&self, rank: usize, fence: Fence) -> bool {
-        let mut books = self.books();
-        let rank = &mut books.ranks[rank];
+    /// Accepts or rejects a fencing token and raises the rank's token.
+    fn check_fence(&self, rank: usize, fence: Fence) -> bool {
+        let mut group = self.group();
+        let rank = &mut group.ranks[rank];
         if self.options.fenced && fence < rank.fence {
             return false;
         }
@@ -136,17 +136,17 @@
         true
     }
 
-    /// Runs one step; false if it was aborted.
+    /// Runs one step; returns `false` if it was aborted.
     async fn run(&self, rank: usize, epoch: Epoch, step: u64, map: MapId) -> bool {
         let mut changed = self.changed.subscribe();
         self.start(rank, epoch, step, map);
         loop {
             {
-                let books = self.books();
-                if books.ranks[rank].running != Some((epoch, step)) {
+                let group = self.group();
+                if group.ranks[rank].running != Some((epoch, step)) {
                     return false;
                 }
-                if books.started.get(&(epoch, step)) == Some(&self.options.ranks) {
+                if group.started.get(&(epoch, step)) == Some(&self.options.ranks) {
                     break;
                 }
             }
@@ -155,8 +155,8 @@
             }
         }
         actix_rt::time::sleep(self.options.step_duration).await;
-        let mut books = self.books();
-        let rank = &mut books.ranks[rank];
+        let mut group = self.group();
+        let rank = &mut group.ranks[rank];
         if rank.running != Some((epoch, step)) {
             return false;
         }
@@ -166,28 +166,28 @@
     }
 
     fn start(&self, rank: usize, epoch: Epoch, step: u64, map: MapId) {
-        let mut books = self.books();
-        books.ranks[rank].running = Some((epoch, step));
-        books.ledger.push(StepRecord {
+        let mut group = self.group();
+        group.ranks[rank].running = Some((epoch, step));
+        group.ledger.push(StepRecord {
             epoch,
             step,
             rank: rank as u16,
             map,
         });
-        *books.started.entry((epoch, step)).or_default() += 1;
-        drop(books);
+        *group.started.entry((epoch, step)).or_default() += 1;
+        drop(group);
         self.changed.send_replace(());
     }
 
     fn abort(&self, rank: usize) {
-        self.books().ranks[rank].running = None;
+        self.group().ranks[rank].running = None;
         self.changed.send_replace(());
     }
 
     async fn load(&self, rank: usize, map: MapId) {
         actix_rt::time::sleep(self.options.load_duration).await;
-        let mut books = self.books();
-        let ready = &mut books.ranks[rank].ready;
+        let mut group = self.group();
+        let ready = &mut group.ranks[rank].ready;
         if !ready.contains(&map) {
             ready.push(map);
         }
@@ -205,9 +205,9 @@
         let ranks = (0..options.ranks).map(|_| Rank::default()).collect();
         let core = Arc::new(Core {
             options,
-            books: Mutex::new(Books {
+            group: Mutex::new(GroupState {
                 ranks,
-                ..Books::default()
+                ..GroupState::default()
             }),
             changed: watch::channel(()).0,
         });
@@ -227,24 +227,24 @@
         })
     }
 
-    /// Address that takes orders for all ranks.
+    /// Address that accepts orders for all ranks.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Steps that ranks have started, in order.
+    /// Returns the steps that ranks have started, in order.
     pub fn ledger(&self) -> Vec<StepRecord> {
-        self.core.books().ledger.clone()
+        self.core.group().ledger.clone()
     }
 
-    /// Changes of models, adapters or role that a rank has carried out.
+    /// Returns the number of changes of models, adapters or role that a rank has applied.
     pub fn applied_changes(&self, rank: u16) -> u64 {
-        self.core.books().ranks[usize::from(rank)].applied_changes
+        self.core.group().ranks[usize::from(rank)].applied_changes
     }
 
-    /// Restarts a rank: it holds nothing, and has forgotten its fencing number.
+    /// Restarts a rank, which loses its inventory, maps and fencing token.
     pub fn restart(&self, rank: u16) {
-        self.core.books().ranks[usize::from(rank)] = Rank::default();
+        self.core.group().ranks[usize::from(rank)] = Rank::default();
         self.core.changed.send_replace(());
     }
 
@@ -267,23 +267,23 @@
     request: web::Json<RankRequest>,
 ) -> HttpResponse {
     let RankRequest { fence, order } = request.into_inner();
-    let number = usize::from(*rank);
+    let index = usize::from(*rank);
     if *rank >= core.options.ranks {
         return HttpResponse::NotFound().finish();
     }
-    if !core.admit(number, fence) {
+    if !core.check_fence(index, fence) {
         return HttpResponse::Conflict().finish();
     }
     match order {
-        RankOrder::Load { map, .. } => core.load(number, map).await,
-        RankOrder::Free { map } => core.books().ranks[number].ready.retain(|m| *m != map),
+        RankOrder::Load { map, .. } => core.load(index, map).await,
+        RankOrder::Free { map } => core.group().ranks[index].ready.retain(|m| *m != map),
         RankOrder::Run { epoch, step, map } => {
-            if !core.run(number, epoch, step, map).await {
+            if !core.run(index, epoch, step, map).await {
                 return HttpResponse::Gone().finish();
             }
         }
-        RankOrder::Abort { .. } => core.abort(number),
-        RankOrder::Change(change) => core.books().ranks[number].change(change),
+        RankOrder::Abort { .. } => core.abort(index),
+        RankOrder::Change(change) => core.group().ranks[index].change(change),
     }
-    HttpResponse::Ok().json(core.state(number))
+    HttpResponse::Ok().json(core.state(index))
 }
--- a/standin/src/serve.rs
+++ b/standin/src/serve.rs
@@ -1,4 +1,4 @@
-//! Servers of stand-ins.
+//! HTTP servers of stand-ins.
 
 use std::io;
 use std::net::SocketAddr;
@@ -7,7 +7,7 @@
 use actix_web::dev::ServerHandle;
 use actix_web::{App, HttpServer, web};
 
-/// Starts a server with `data` on the current actix system.
+/// Starts a server with `data` on the current actix system; returns its bound address.
 ///
 /// # Errors
 ///
--- a/standin/src/weights.rs
+++ b/standin/src/weights.rs
@@ -1,4 +1,4 @@
-//! Stand-in weights store with a rate that it does not exceed.
+//! Stand-in weights store with a bounded total read rate.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -14,34 +14,34 @@
 
 use crate::serve::serve;
 
-/// Bytes of weights in one chunk.
+/// Size of a chunk of an answer.
 const CHUNK_BYTES: usize = 16 << 10;
 
-/// Behaviour of a weights store.
+/// Options of a weights store.
 #[derive(Clone, Debug)]
 pub struct WeightsOptions {
-    /// Address to listen on.
+    /// Address to listen on; port 0 picks a free one.
     pub listen: SocketAddr,
-    /// Rate over all readers, bytes a second.
+    /// Maximum total rate of all readers, bytes per second.
     pub rate: u64,
     /// Size of the weights of one expert, bytes.
     pub size: u64,
 }
 
-/// Why a weights store could not start.
+/// Error of starting a weights store.
 #[derive(Debug, Display)]
 #[display("stand-in weights store on {address}: {source}")]
 pub struct WeightsStoreError {
-    /// Address that was asked for.
+    /// Address that could not be bound.
     pub address: SocketAddr,
     source: std::io::Error,
 }
 
 impl std::error::Error for WeightsStoreError {}
 
-/// What a store is serving and has served.
+/// Rates in use and statistics of a store.
 #[derive(Debug, Default)]
-struct Books {
+struct Usage {
     rate: u64,
     peak: u64,
     refused: u64,
@@ -50,38 +50,38 @@
 
 struct Core {
     options: WeightsOptions,
-    books: Mutex<Books>,
+    usage: Mutex<Usage>,
 }
 
-/// A running weights store.
+/// Running weights store.
 pub struct WeightsStore {
     address: SocketAddr,
     core: Arc<Core>,
     server: ServerHandle,
 }
 
-/// One reader's part of the rate, given back when the answer ends.
-struct Reading {
+/// Share of the total rate reserved for a reader; released on drop.
+struct Reservation {
     core: Arc<Core>,
     rate: u64,
     key: String,
 }
 
 impl Core {
-    fn books(&self) -> MutexGuard<'_, Books> {
-        self.books.lock().unwrap_or_else(PoisonError::into_inner)
+    fn usage(&self) -> MutexGuard<'_, Usage> {
+        self.usage.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Admits a reader at `rate` if the store's rate allows it.
-    fn admit(self: &Arc<Self>, rate: u64, key: &str) -> Option<Reading> {
-        let mut books = self.books();
-        if rate == 0 || books.rate + rate > self.options.rate {
-            books.refused += 1;
+    /// Reserves `rate` for a reader; `None` if the total rate would be exceeded.
+    fn reserve(self: &Arc<Self>, rate: u64, key: &str) -> Option<Reservation> {
+        let mut usage = self.usage();
+        if rate == 0 || usage.rate + rate > self.options.rate {
+            usage.refused += 1;
             return None;
         }
-        books.rate += rate;
-        books.peak = books.peak.max(books.rate);
-        Some(Reading {
+        usage.rate += rate;
+        usage.peak = usage.peak.max(usage.rate);
+        Some(Reservation {
             core: Arc::clone(self),
             rate,
             key: key.to_owned(),
@@ -89,17 +89,17 @@
     }
 }
 
-impl Drop for Reading {
+impl Drop for Reservation {
     fn drop(&mut self) {
-        self.core.books().rate -= self.rate;
+        self.core.usage().rate -= self.rate;
     }
 }
 
-impl Reading {
-    fn note(&self, bytes: u64) {
+impl Reservation {
+    fn record(&self, bytes: u64) {
         *self
             .core
-            .books()
+            .usage()
             .served
             .entry(self.key.clone())
             .or_default() += bytes;
@@ -116,7 +116,7 @@
         let listen = options.listen;
         let core = Arc::new(Core {
             options,
-            books: Mutex::default(),
+            usage: Mutex::default(),
         });
         let served = serve(listen, &core, |routes| {
             routes.route("/weights/{key:.*}", web::get().to(read));
@@ -137,19 +137,19 @@
         self.address
     }
 
-    /// Bytes served, by key.
+    /// Returns the bytes served, by key.
     pub fn served(&self) -> BTreeMap<String, u64> {
-        self.core.books().served.clone()
+        self.core.usage().served.clone()
     }
 
-    /// Highest rate that readers had at once.
+    /// Returns the highest total rate reserved at one time, bytes per second.
     pub fn peak(&self) -> u64 {
-        self.core.books().peak
+        self.core.usage().peak
     }
 
-    /// Readers turned away.
+    /// Returns the number of rejected readers.
     pub fn refused(&self) -> u64 {
-        self.core.books().refused
+        self.core.usage().refused
     }
 
     /// Stops the store.
@@ -162,20 +162,20 @@
     let header = request.headers().get(RATE_HEADER);
     let rate = header.and_then(|h| h.to_str().ok()?.parse().ok());
     let rate = rate.unwrap_or(core.options.rate);
-    let Some(reading) = core.into_inner().admit(rate, &key) else {
+    let Some(reservation) = core.into_inner().reserve(rate, &key) else {
         return HttpResponse::TooManyRequests().finish();
     };
-    let left = reading.core.options.size;
-    let body = stream::unfold((reading, left), |(reading, left)| async move {
+    let left = reservation.core.options.size;
+    let body = stream::unfold((reservation, left), |(reservation, left)| async move {
         let size = left.min(CHUNK_BYTES as u64);
         if size == 0 {
             return None;
         }
-        let due = Duration::from_secs_f64(size as f64 / reading.rate as f64);
-        actix_rt::time::sleep(due).await;
-        reading.note(size);
+        let delay = Duration::from_secs_f64(size as f64 / reservation.rate as f64);
+        actix_rt::time::sleep(delay).await;
+        reservation.record(size);
         let chunk = Bytes::from(vec![0; size as usize]);
-        Some((Ok::<_, actix_web::Error>(chunk), (reading, left - size)))
+        Some((Ok::<_, actix_web::Error>(chunk), (reservation, left - size)))
     });
     HttpResponse::Ok().streaming(body)
 }
