--- a/support/observe/src/exposition.rs
+++ b/support/observe/src/exposition.rs
@@ -1,8 +1,8 @@
-//! Metrics as text for scrapers.
+//! Metrics in the Prometheus text format, for scrapers.
 //!
-//! A sink that adds up what a process records: counters, gauges and histograms
-//! of durations, by name and tag. A scrape renders what has been added up so
-//! far. The number of series is bounded; what exceeds it is counted as dropped.
+//! A sink that aggregates the counters, gauges and duration histograms of a
+//! process by name and tag; a scrape renders the current values. The number of
+//! series is bounded, and samples of further series are counted as dropped.
 
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
@@ -11,14 +11,14 @@
 
 use cadence::MetricSink;
 
-/// Most series; each label value is from a closed list, so this is never reached in order.
+/// Maximum number of series; label values come from closed lists, so normal operation stays below it.
 const MAX_SERIES: usize = 512;
-/// Upper bounds of the buckets of durations, ms.
-const BUCKETS: [f64; 12] = [
+/// Upper bounds of the histogram buckets of durations.
+const BUCKETS_MS: [f64; 12] = [
     1.0, 5.0, 10.0, 25.0, 50.0, 100.0, 200.0, 400.0, 800.0, 1_600.0, 3_200.0, 6_400.0,
 ];
 
-/// Series that a process has added up; clones share them.
+/// Aggregated series of a process; clones share them.
 #[derive(Clone, Debug, Default)]
 pub struct Exposition {
     series: Arc<Mutex<Series>>,
@@ -35,7 +35,7 @@
     Counter(f64),
     Gauge(f64),
     Durations {
-        buckets: [u64; BUCKETS.len()],
+        buckets: [u64; BUCKETS_MS.len()],
         sum: f64,
         count: u64,
     },
@@ -46,16 +46,16 @@
         self.series.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Renders all series in the usual text format.
+    /// Renders all series in the Prometheus text format.
     pub fn render(&self) -> String {
         let series = self.series();
         let mut text = String::new();
-        let mut last = "";
+        let mut previous = "";
         for ((name, labels), value) in &series.values {
-            if name != last {
+            if name != previous {
                 // Writing to a string cannot fail.
                 let _ = writeln!(text, "# TYPE {}", type_line(name, value));
-                last = name;
+                previous = name;
             }
             render_value(&mut text, name, labels, value);
         }
@@ -94,7 +94,7 @@
             count,
         } => {
             let comma = if labels.is_empty() { "" } else { "," };
-            for (bound, n) in BUCKETS.iter().zip(buckets) {
+            for (bound, n) in BUCKETS_MS.iter().zip(buckets) {
                 let le = bound / 1e3;
                 let _ = writeln!(
                     text,
@@ -113,14 +113,14 @@
 
 impl MetricSink for Exposition {
     fn emit(&self, metric: &str) -> io::Result<usize> {
-        let unreadable = || io::Error::new(io::ErrorKind::InvalidData, metric.to_owned());
-        let (name, rest) = metric.split_once(':').ok_or_else(unreadable)?;
+        let malformed = || io::Error::new(io::ErrorKind::InvalidData, metric.to_owned());
+        let (name, rest) = metric.split_once(':').ok_or_else(malformed)?;
         let mut parts = rest.split('|');
         let number: f64 = parts
             .next()
             .and_then(|n| n.parse().ok())
-            .ok_or_else(unreadable)?;
-        let kind = parts.next().ok_or_else(unreadable)?;
+            .ok_or_else(malformed)?;
+        let kind = parts.next().ok_or_else(malformed)?;
         let tags = parts
             .next()
             .and_then(|t| t.strip_prefix('#'))
@@ -140,11 +140,11 @@
             "c" => Value::Counter(0.0),
             "g" => Value::Gauge(0.0),
             "ms" => Value::Durations {
-                buckets: [0; BUCKETS.len()],
+                buckets: [0; BUCKETS_MS.len()],
                 sum: 0.0,
                 count: 0,
             },
-            _ => return Err(unreadable()),
+            _ => return Err(malformed()),
         };
         match series.values.entry(key).or_insert(start) {
             Value::Counter(n) => *n += number,
@@ -154,7 +154,7 @@
                 sum,
                 count,
             } => {
-                for (bound, n) in BUCKETS.iter().zip(buckets) {
+                for (bound, n) in BUCKETS_MS.iter().zip(buckets) {
                     *n += u64::from(number <= *bound);
                 }
                 *sum += number;
--- a/support/observe/src/lib.rs
+++ b/support/observe/src/lib.rs
@@ -1,9 +1,9 @@
 //! Structured logs and metrics.
 //!
-//! Logs are JSON lines on standard output, one object a line, written through
-//! `log` and `flexi_logger` by a thread of their own, from a bounded queue.
-//! Metrics go through `cadence` to a StatsD address, or are added up for
-//! scrapers, or go nowhere.
+//! Logs are JSON objects on standard output, one per line. They pass through
+//! `log` and `flexi_logger` into a bounded queue that a dedicated thread writes
+//! out. Metrics are recorded through `cadence` and sent to a StatsD address,
+//! aggregated for scrapers or discarded.
 
 mod exposition;
 mod line;
--- a/support/observe/src/line.rs
+++ b/support/observe/src/line.rs
@@ -4,22 +4,22 @@
 use serde::Serialize;
 use serde_json::{Map, Value};
 
-/// Target of records whose message is the rest of a JSON object.
+/// Target of records whose message is a JSON object without its opening brace.
 pub(crate) const EVENT_TARGET: &str = "pimentotide::event";
-/// Target of such records that tell of nothing unusual.
+/// Target of such records for routine events.
 pub(crate) const ROUTINE_TARGET: &str = "pimentotide::routine";
 
-/// One kind of line; its fields are those of the object that it serializes to.
+/// Kind of structured log line; must serialize to an object, whose fields are those of the line.
 pub trait Line: Serialize {
-    /// Name of the event.
+    /// Value of the field `event`.
     const EVENT: &'static str;
     /// Level at which it is logged.
     const LEVEL: Level = Level::Info;
-    /// Whether it tells of nothing unusual; such lines are the first to be dropped under load.
+    /// Whether the event is routine; routine lines are dropped first under load.
     const ROUTINE: bool = false;
 }
 
-/// Logs one line.
+/// Logs one line if its target and level are enabled.
 pub fn event<T>(line: &T)
 where
     T: Line,
@@ -35,7 +35,7 @@
     log::log!(target: target, T::LEVEL, "{}", body(line));
 }
 
-/// The object of a line without its opening brace, so that time and level can stand first.
+/// Returns the object of a line without its opening brace, so that time and level can be put first.
 pub(crate) fn body<T>(line: &T) -> String
 where
     T: Line,
--- a/support/observe/src/logs.rs
+++ b/support/observe/src/logs.rs
@@ -1,4 +1,4 @@
-//! JSON lines on standard output, written by a thread of their own.
+//! JSON lines on standard output, written by a dedicated thread.
 
 use std::io::{self, Write};
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -14,23 +14,23 @@
 use crate::line::{EVENT_TARGET, Line, ROUTINE_TARGET, body};
 use crate::queue::{Dropped, LineQueue, split_lines};
 
-/// Most bytes in one write; pipes take as many whole, so that lines of several writers do not mix.
-const MAX_WRITE: usize = 4_096;
-/// Pause between two writes; lines that come meanwhile share one system call.
-const WRITE_PAUSE: Duration = Duration::from_millis(20);
-/// Longest wait for the reader of the log at the end of the process.
-const FLUSH_LIMIT: Duration = Duration::from_millis(500);
+/// Maximum size of a write; a pipe accepts this much atomically, so lines of several processes do not mix.
+const MAX_WRITE_BYTES: usize = 4_096;
+/// Pause between two writes, so that lines queued meanwhile share a system call.
+const WRITE_INTERVAL: Duration = Duration::from_millis(20);
+/// Maximum time to flush the queue, also at the end of the process.
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Why logging could not start.
+/// Error of starting the logger.
 #[derive(Debug, Display)]
 #[display("logging could not start: {_0}")]
 pub struct LogError(FlexiLoggerError);
 
 impl std::error::Error for LogError {}
 
-/// Running logger; writes out what waits when dropped.
+/// Running logger; flushes the queue when dropped.
 pub struct Logs {
-    outlet: Outlet,
+    queue: LogQueue,
     _handle: LoggerHandle,
 }
 
@@ -39,36 +39,36 @@
     ///
     /// # Errors
     ///
-    /// Fails if the level is not valid or a logger runs already.
+    /// Fails if the level is invalid or a logger is already installed.
     pub fn open(level: &str) -> Result<Self, LogError> {
-        let outlet = Outlet::open();
+        let queue = LogQueue::open();
         let handle = Logger::try_with_str(level)
-            .and_then(|l| l.log_to_writer(Box::new(outlet.clone())).start())
+            .and_then(|l| l.log_to_writer(Box::new(queue.clone())).start())
             .map_err(LogError)?;
-        let writer = outlet.clone();
-        // The thread runs until the process ends; `flush` waits for its work.
-        std::thread::spawn(move || writer.write_out());
+        let writer = queue.clone();
+        // The thread runs until the process ends; `drain` waits for its writes.
+        std::thread::spawn(move || writer.write_loop());
         Ok(Self {
-            outlet,
+            queue,
             _handle: handle,
         })
     }
 
-    /// Counts the lines that were dropped; clones count the same.
+    /// Returns the counter of dropped lines.
     pub fn drops(&self) -> DropCounter {
-        DropCounter(self.outlet.clone())
+        DropCounter(self.queue.clone())
     }
 }
 
 impl Drop for Logs {
     fn drop(&mut self) {
-        self.outlet.drain(FLUSH_LIMIT);
+        self.queue.drain(FLUSH_TIMEOUT);
     }
 }
 
-/// Counter of dropped lines.
+/// Counter of dropped lines; clones share it.
 #[derive(Clone)]
-pub struct DropCounter(Outlet);
+pub struct DropCounter(LogQueue);
 
 impl DropCounter {
     /// Lines dropped since the start.
@@ -77,21 +77,21 @@
     }
 }
 
-/// Queue of lines and what wakes its writer.
+/// Line queue shared by the logger and its writer thread.
 #[derive(Clone)]
-struct Outlet(Arc<Shared>);
+struct LogQueue(Arc<Shared>);
 
 struct Shared {
     queue: Mutex<LineQueue>,
-    filled: Condvar,
+    not_empty: Condvar,
     writing: AtomicBool,
 }
 
-impl Outlet {
+impl LogQueue {
     fn open() -> Self {
         Self(Arc::new(Shared {
             queue: Mutex::new(LineQueue::new(Instant::now())),
-            filled: Condvar::new(),
+            not_empty: Condvar::new(),
             writing: AtomicBool::new(false),
         }))
     }
@@ -100,86 +100,86 @@
         self.0.queue.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Writes lines as they come, for ever.
-    fn write_out(&self) {
+    /// Writes queued lines until the process ends.
+    fn write_loop(&self) {
         loop {
             let text = self.next_lines();
-            for piece in split_lines(&text, MAX_WRITE) {
-                if let Err(e) = io::stdout().lock().write_all(piece.as_bytes()) {
-                    // The log itself cannot tell it.
-                    eprintln!("{} bytes of the log are lost: {e}", piece.len());
+            for chunk in split_lines(&text, MAX_WRITE_BYTES) {
+                if let Err(e) = io::stdout().lock().write_all(chunk.as_bytes()) {
+                    // Standard output, the log itself, has failed.
+                    eprintln!("writing the log failed, {} bytes lost: {e}", chunk.len());
                 }
             }
             self.0.writing.store(false, Ordering::SeqCst);
-            std::thread::sleep(WRITE_PAUSE);
+            std::thread::sleep(WRITE_INTERVAL);
         }
     }
 
     fn next_lines(&self) -> String {
         let mut queue = self.queue();
         while queue.is_empty() {
-            let filled = self.0.filled.wait(queue);
+            let filled = self.0.not_empty.wait(queue);
             queue = filled.unwrap_or_else(PoisonError::into_inner);
         }
         let mut text = queue.take();
         if let Some(dropped) = queue.report(Instant::now()) {
-            text.push_str(&dropped_line(dropped));
+            text.push_str(&format_dropped(dropped));
         }
         self.0.writing.store(true, Ordering::SeqCst);
         text
     }
 
-    /// Waits until all lines are written, at most for `limit`.
+    /// Waits until all lines are written, for at most `limit`.
     fn drain(&self, limit: Duration) {
-        let end = Instant::now() + limit;
-        while Instant::now() < end {
+        let deadline = Instant::now() + limit;
+        while Instant::now() < deadline {
             if self.queue().is_empty() && !self.0.writing.load(Ordering::SeqCst) {
                 return;
             }
-            self.0.filled.notify_one();
+            self.0.not_empty.notify_one();
             std::thread::sleep(Duration::from_millis(1));
         }
     }
 }
 
-impl LogWriter for Outlet {
+impl LogWriter for LogQueue {
     fn write(&self, now: &mut DeferredNow, record: &Record<'_>) -> io::Result<()> {
-        let line = line_of(&now.format(TIME_FORMAT).to_string(), record);
+        let line = format_record(&now.format(TIME_FORMAT).to_string(), record);
         let routine = record.target() == ROUTINE_TARGET;
         let mut queue = self.queue();
         let idle = queue.is_empty();
         queue.push(&line, routine, Instant::now());
         drop(queue);
         if idle {
-            self.0.filled.notify_one();
+            self.0.not_empty.notify_one();
         }
         Ok(())
     }
 
     fn flush(&self) -> io::Result<()> {
-        self.drain(FLUSH_LIMIT);
+        self.drain(FLUSH_TIMEOUT);
         Ok(())
     }
 }
 
-/// Time of day of a line, UTC.
+/// Format of the field `time`, UTC.
 const TIME_FORMAT: &str = "%Y-%m-%dT%H:%M:%S%.6fZ";
 
-fn dropped_line(dropped: Dropped) -> String {
+fn format_dropped(dropped: Dropped) -> String {
     let time = DeferredNow::new().format(TIME_FORMAT).to_string();
-    with_head(&time, Dropped::LEVEL, &body(&dropped)) + "\n"
+    format_line(&time, Dropped::LEVEL, &body(&dropped)) + "\n"
 }
 
-/// A whole line from the body of one.
-fn with_head(time: &str, level: Level, body: &str) -> String {
+/// Completes the body of a line with its time and level.
+fn format_line(time: &str, level: Level, body: &str) -> String {
     let level = level.as_str().to_ascii_lowercase();
     format!(r#"{{"time":"{time}","level":"{level}",{body}"#)
 }
 
-fn line_of(time: &str, record: &Record<'_>) -> String {
+fn format_record(time: &str, record: &Record<'_>) -> String {
     let message = record.args().to_string();
     if [EVENT_TARGET, ROUTINE_TARGET].contains(&record.target()) {
-        return with_head(time, record.level(), &message);
+        return format_line(time, record.level(), &message);
     }
     let level = record.level().as_str().to_ascii_lowercase();
     let line = json!({
--- a/support/observe/src/metrics.rs
+++ b/support/observe/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters, gauges and timings, for StatsD or for scrapers.
+//! Counters, gauges and durations, for StatsD or for scrapers.
 
 use std::net::{SocketAddr, UdpSocket};
 use std::sync::Arc;
@@ -9,12 +9,12 @@
 
 use crate::Exposition;
 
-/// Prefix of every metric.
+/// Prefix of all metric names.
 const PREFIX: &str = "pimentotide";
 
-/// Why metrics could not start.
+/// Error of opening the metrics socket.
 #[derive(Debug, Display)]
-#[display("metrics could not start: {_0}")]
+#[display("cannot open the metrics socket: {_0}")]
 pub struct MetricsError(String);
 
 impl std::error::Error for MetricsError {}
@@ -26,12 +26,12 @@
 }
 
 impl Metrics {
-    /// Drops everything, at the cost of one comparison.
+    /// Discards all metrics, at the cost of one comparison each.
     pub fn none() -> Self {
         Self { client: None }
     }
 
-    /// Sends to `address` from a queue, so that no caller waits for the socket.
+    /// Sends metrics to the StatsD server at `address` through a queue, so that callers never wait for the socket.
     ///
     /// # Errors
     ///
@@ -51,7 +51,7 @@
         })
     }
 
-    /// Adds up for scrapers; the second value renders what was added up.
+    /// Aggregates metrics for scrapers; the returned exposition renders them.
     pub fn expose() -> (Self, Exposition) {
         let exposition = Exposition::default();
         let client = StatsdClient::from_sink(PREFIX, exposition.clone());
@@ -62,10 +62,10 @@
     }
 
     /// Adds to a counter.
-    pub fn count(&self, name: &str, tag: (&str, &str), by: i64) {
+    pub fn count(&self, name: &str, tag: (&str, &str), amount: i64) {
         if let Some(client) = &self.client {
             client
-                .count_with_tags(name, by)
+                .count_with_tags(name, amount)
                 .with_tag(tag.0, tag.1)
                 .send();
         }
--- a/support/observe/src/process.rs
+++ b/support/observe/src/process.rs
@@ -1,8 +1,8 @@
-//! What the operating system knows of this process.
+//! Resource usage of this process, from `/proc`.
 
 use std::fs;
 
-/// Resident memory, bytes; none where the system does not tell.
+/// Returns the resident memory in bytes; `None` if `/proc` is unavailable.
 pub fn memory_bytes() -> Option<u64> {
     let status = fs::read_to_string("/proc/self/status").ok()?;
     let line = status.lines().find_map(|l| l.strip_prefix("VmRSS:"))?;
@@ -10,7 +10,7 @@
     Some(kib << 10)
 }
 
-/// Open descriptors; none where the system does not tell.
+/// Returns the number of open file descriptors; `None` if `/proc` is unavailable.
 pub fn open_descriptors() -> Option<u64> {
     let open = fs::read_dir("/proc/self/fd").ok()?;
     Some(open.count() as u64)
--- a/support/observe/src/queue.rs
+++ b/support/observe/src/queue.rs
@@ -1,9 +1,9 @@
-//! Bounded queue of log lines on their way out.
+//! Bounded queue of log lines.
 //!
-//! Nobody waits for the reader of the log: a line that finds the queue full, or
-//! comes after too many others of its second, is dropped and counted. Routine
-//! lines go first, so that those that explain a failure last longest. What was
-//! dropped is said in a line of its own.
+//! Logging never blocks on the reader of the log: a line that exceeds the size of
+//! the queue or the rate limit of its class is dropped and counted. Routine lines
+//! have lower limits, so that lines that explain a failure are kept longest.
+//! Dropped lines are reported in a line of their own.
 
 use std::time::{Duration, Instant};
 
@@ -12,23 +12,23 @@
 
 use crate::Line;
 
-/// Lines that wait, bytes; a second of the heaviest day of an entry.
+/// Maximum size of the queued lines: one second of an entry's log on its busiest day.
 const MAX_BYTES: usize = 256 << 10;
-/// Bytes from which on routine lines are dropped, so that room is left for the others.
+/// Queue size above which routine lines are dropped, to reserve space for the others.
 const MAX_ROUTINE_BYTES: usize = MAX_BYTES / 2;
-/// Routine lines in a second; fifteen times the requests of an entry at the target, two lines each.
-const MAX_ROUTINE: u32 = 360;
-/// Other lines in a second; one for each of as many requests that all fail twice.
-const MAX_OTHER: u32 = 720;
-/// Time over which lines are counted, and the shortest time between two reports of dropped lines.
-const SPAN: Duration = Duration::from_secs(1);
+/// Maximum number of routine lines per second: 15 times an entry's target request rate, two lines per request.
+const MAX_ROUTINE_LINES: u32 = 360;
+/// Maximum number of other lines per second: at the same rate, one line each for requests that all fail twice.
+const MAX_OTHER_LINES: u32 = 720;
+/// Window of the rate limits, and minimum interval between two reports of dropped lines.
+const RATE_WINDOW: Duration = Duration::from_secs(1);
 
-/// Lines that were dropped.
+/// Numbers of dropped lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Dropped {
-    /// Lines that told of nothing unusual.
+    /// Dropped routine lines.
     pub routine: u64,
-    /// All others.
+    /// All other dropped lines.
     pub other: u64,
 }
 
@@ -37,40 +37,40 @@
     const LEVEL: Level = Level::Warn;
 }
 
-/// Lines on their way out.
+/// Queue of lines to write.
 #[derive(Debug)]
 pub struct LineQueue {
     text: String,
-    span: Instant,
+    window_start: Instant,
     routine: u32,
     other: u32,
     dropped: Dropped,
-    told: Dropped,
+    reported: Dropped,
 }
 
 impl LineQueue {
-    /// Starts empty.
+    /// Creates an empty queue whose first rate window starts at `now`.
     pub fn new(now: Instant) -> Self {
         Self {
             text: String::new(),
-            span: now,
+            window_start: now,
             routine: 0,
             other: 0,
             dropped: Dropped::default(),
-            told: Dropped::default(),
+            reported: Dropped::default(),
         }
     }
 
-    /// Appends a line unless it has to be dropped.
+    /// Appends a line, or drops and counts it if a limit is exceeded.
     pub fn push(&mut self, line: &str, routine: bool, now: Instant) {
-        self.begin_span(now);
-        let (count, most, room) = if routine {
-            (&mut self.routine, MAX_ROUTINE, MAX_ROUTINE_BYTES)
+        self.advance_window(now);
+        let (count, max_lines, max_bytes) = if routine {
+            (&mut self.routine, MAX_ROUTINE_LINES, MAX_ROUTINE_BYTES)
         } else {
-            (&mut self.other, MAX_OTHER, MAX_BYTES)
+            (&mut self.other, MAX_OTHER_LINES, MAX_BYTES)
         };
         *count += 1;
-        if *count > most || self.text.len() + line.len() > room {
+        if *count > max_lines || self.text.len() + line.len() > max_bytes {
             let dropped = &mut self.dropped;
             *(if routine {
                 &mut dropped.routine
@@ -83,56 +83,58 @@
         self.text.push('\n');
     }
 
-    /// Takes all lines.
+    /// Removes and returns all lines.
     pub fn take(&mut self) -> String {
         std::mem::take(&mut self.text)
     }
 
-    /// Lines dropped since the last call; none before a second has passed, or if there are none.
+    /// Returns the lines dropped delta the last report; `None` within the same rate window or if there are none.
     pub fn report(&mut self, now: Instant) -> Option<Dropped> {
-        if now.saturating_duration_since(self.span) < SPAN || self.dropped == self.told {
+        if now.saturating_duration_since(self.window_start) < RATE_WINDOW
+            || self.dropped == self.reported
+        {
             return None;
         }
-        let since = Dropped {
-            routine: self.dropped.routine - self.told.routine,
-            other: self.dropped.other - self.told.other,
+        let delta = Dropped {
+            routine: self.dropped.routine - self.reported.routine,
+            other: self.dropped.other - self.reported.other,
         };
-        self.told = self.dropped;
-        Some(since)
+        self.reported = self.dropped;
+        Some(delta)
     }
 
-    /// Lines dropped in all.
+    /// Returns the total of dropped lines.
     pub fn dropped(&self) -> Dropped {
         self.dropped
     }
 
-    /// Whether nothing waits.
+    /// Whether no lines are queued.
     pub fn is_empty(&self) -> bool {
         self.text.is_empty()
     }
 
-    fn begin_span(&mut self, now: Instant) {
-        if now.saturating_duration_since(self.span) >= SPAN {
-            self.span = now;
+    fn advance_window(&mut self, now: Instant) {
+        if now.saturating_duration_since(self.window_start) >= RATE_WINDOW {
+            self.window_start = now;
             self.routine = 0;
             self.other = 0;
         }
     }
 }
 
-/// Cuts text into pieces of whole lines, of at most `limit` bytes unless one line is longer.
+/// Splits text into chunks of whole lines, each at most `limit` bytes unless a single line is longer.
 pub fn split_lines(text: &str, limit: usize) -> Vec<&str> {
-    let mut pieces = Vec::new();
+    let mut chunks = Vec::new();
     let (mut start, mut end) = (0, 0);
     for line in text.split_inclusive('\n') {
         if end > start && end + line.len() - start > limit {
-            pieces.push(&text[start..end]);
+            chunks.push(&text[start..end]);
             start = end;
         }
         end += line.len();
     }
     if end > start {
-        pieces.push(&text[start..end]);
+        chunks.push(&text[start..end]);
     }
-    pieces
+    chunks
 }
--- a/support/observe/tests/it/exposition.rs
+++ b/support/observe/tests/it/exposition.rs
@@ -1,4 +1,4 @@
-//! Metrics as text for scrapers.
+//! Tests of the text format for scrapers.
 
 use std::time::Duration;
 
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn series_are_bounded_and_what_is_dropped_is_counted() {
+fn series_are_bounded_and_dropped_samples_are_counted() {
     let (metrics, exposition) = Metrics::expose();
     for n in 0..600 {
         metrics.count("entry.requests", ("outcome", &n.to_string()), 1);
--- a/support/observe/tests/it/queue.rs
+++ b/support/observe/tests/it/queue.rs
@@ -1,13 +1,13 @@
-//! What the bounded queue of log lines keeps and drops.
+//! Tests of the limits of the log queue.
 
 use std::time::{Duration, Instant};
 
 use pimentotide_observe::{Dropped, LineQueue, split_lines};
 
-const LONG: usize = 1 << 10;
+const LINE_BYTES: usize = 1 << 10;
 
 #[test]
-fn lines_come_out_in_order() {
+fn lines_are_returned_in_order() {
     let now = Instant::now();
     let mut queue = LineQueue::new(now);
     queue.push("one", true, now);
@@ -19,10 +19,10 @@
 }
 
 #[test]
-fn a_reader_that_stands_still_costs_routine_lines_first() {
+fn stalled_reader_causes_routine_lines_to_be_dropped_first() {
     let start = Instant::now();
     let mut queue = LineQueue::new(start);
-    let line = "x".repeat(LONG);
+    let line = "x".repeat(LINE_BYTES);
     for second in 0..4 {
         let now = start + Duration::from_secs(second);
         for _ in 0..80 {
@@ -37,10 +37,10 @@
 }
 
 #[test]
-fn a_reader_that_never_reads_bounds_memory() {
+fn memory_is_bounded_without_a_reader() {
     let start = Instant::now();
     let mut queue = LineQueue::new(start);
-    let line = "x".repeat(LONG);
+    let line = "x".repeat(LINE_BYTES);
     for second in 0..100 {
         for _ in 0..100 {
             queue.push(&line, false, start + Duration::from_secs(second));
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn a_flood_is_cut_each_second_and_told() {
+fn line_rate_is_limited_per_second_and_drops_are_reported() {
     let start = Instant::now();
     let mut queue = LineQueue::new(start);
     for second in 0..2 {
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn writes_hold_whole_lines() {
+fn split_chunks_hold_whole_lines() {
     let text = "aaa\nbb\ncccccccccc\nd\n";
     assert_eq!(split_lines(text, 7), ["aaa\nbb\n", "cccccccccc\n", "d\n"]);
     assert_eq!(split_lines("", 7), Vec::<&str>::new());
