--- a/support/document/src/lib.rs
+++ b/support/document/src/lib.rs
@@ -1,9 +1,9 @@
-//! YAML documents read with key paths, lines and all errors at once.
+//! Reader of YAML documents that reports all errors with key paths and lines.
 //!
 //! A document is parsed once and then read section by section. Every reader
-//! method notes what is wrong in a list shared by the whole document and
-//! returns a usable value, so that one pass finds all errors. Keys that no
-//! method asked for are reported when a section is finished.
+//! method records problems in a list shared by the whole document and returns a
+//! usable value, so that one pass finds all errors. Keys that no method has read
+//! are reported at the end of their section.
 
 mod locate;
 mod problem;
@@ -19,13 +19,13 @@
 pub use problem::{Problem, Problems};
 pub use section::{Item, Section};
 
-/// Largest document accepted, in bytes.
+/// Maximum size of a document.
 pub const MAX_DOCUMENT_BYTES: usize = 4 << 20;
 
 /// Reads a document whose top level is a mapping.
 ///
 /// `read` builds the value from the top section. The value is returned only if
-/// no problem was noted.
+/// no problem was recorded.
 ///
 /// # Errors
 ///
--- a/support/document/src/locate.rs
+++ b/support/document/src/locate.rs
@@ -1,11 +1,11 @@
-//! Lines of keys, for problems that are found after reading.
+//! Lookup of the lines of keys, for problems found after reading.
 
 use marked_yaml::types::Node;
 
 use crate::parse;
 use crate::section::line_of;
 
-/// Finds for each path the line of its deepest key that the document holds.
+/// Returns for each path the line of its deepest key that is present in the document.
 pub fn locate<P>(text: &str, paths: &[P]) -> Vec<Option<usize>>
 where
     P: AsRef<[String]>,
--- a/support/document/src/problem.rs
+++ b/support/document/src/problem.rs
@@ -1,17 +1,17 @@
-//! What is wrong with a document.
+//! Problems found in a document.
 
 use std::fmt;
 
 use derive_more::{Deref, IntoIterator};
 
-/// One thing that is wrong, and where.
+/// Problem of a document, with its position.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Problem {
     /// Path of the key, as in `queue.bound` or `services[2].name`.
     pub path: String,
-    /// Line in the document, from 1, where known.
+    /// Line in the document, from 1, if known.
     pub line: Option<usize>,
-    /// What is wrong and what would be right.
+    /// Fault and expected value.
     pub message: String,
 }
 
@@ -27,12 +27,12 @@
     }
 }
 
-/// Everything that is wrong with a document, in the order of its lines.
+/// All problems of a document, in the order of their lines.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Deref, IntoIterator)]
 pub struct Problems(pub Vec<Problem>);
 
 impl Problems {
-    /// Builds a list of one problem.
+    /// Creates a list with a single problem.
     pub fn one<P, M>(path: P, line: Option<usize>, message: M) -> Self
     where
         P: Into<String>,
--- a/support/document/src/section.rs
+++ b/support/document/src/section.rs
@@ -1,4 +1,4 @@
-//! Sections and items of a document, read by key.
+//! Readers of sections and items of a document.
 
 use std::cell::RefCell;
 use std::collections::BTreeSet;
@@ -12,30 +12,30 @@
 
 use crate::Problem;
 
-type Noted = Rc<RefCell<Vec<Problem>>>;
+type SharedProblems = Rc<RefCell<Vec<Problem>>>;
 
-/// A mapping of a document, and which of its keys have been read.
+/// Mapping of a document that tracks which of its keys have been read.
 pub struct Section<'a> {
     node: &'a MarkedMappingNode,
     path: String,
-    asked: BTreeSet<String>,
-    noted: Noted,
+    read_keys: BTreeSet<String>,
+    problems: SharedProblems,
 }
 
-/// One element of a list or one value of an open mapping.
+/// Element of a list, or value of a mapping with arbitrary keys.
 pub struct Item<'a> {
     node: &'a Node,
     path: String,
-    noted: Noted,
+    problems: SharedProblems,
 }
 
 impl<'a> Section<'a> {
-    pub(crate) fn new(node: &'a MarkedMappingNode, path: String, noted: Noted) -> Self {
+    pub(crate) fn new(node: &'a MarkedMappingNode, path: String, problems: SharedProblems) -> Self {
         Self {
             node,
             path,
-            asked: BTreeSet::new(),
-            noted,
+            read_keys: BTreeSet::new(),
+            problems,
         }
     }
 
@@ -44,7 +44,7 @@
         self.node.get_node(key).is_some()
     }
 
-    /// Notes a problem at `key`, or at the section itself if `key` is empty.
+    /// Records a problem at `key`, or at the section itself if `key` is empty.
     pub fn note<M>(&self, key: &str, message: M)
     where
         M: Into<String>,
@@ -58,14 +58,14 @@
         } else {
             self.path_of(key)
         };
-        self.noted.borrow_mut().push(Problem {
+        self.problems.borrow_mut().push(Problem {
             path,
             line,
             message: message.into(),
         });
     }
 
-    /// Reads text that must be present; an empty string stands for a missing one.
+    /// Reads required text; returns an empty string if it is missing.
     pub fn text(&mut self, key: &str) -> String {
         match self.scalar(key) {
             Some(scalar) => scalar.as_str().to_owned(),
@@ -76,12 +76,12 @@
         }
     }
 
-    /// Reads text that may be left out.
+    /// Reads optional text.
     pub fn optional_text(&mut self, key: &str) -> Option<String> {
         self.scalar(key).map(|s| s.as_str().to_owned())
     }
 
-    /// Reads a value that must be present and parse; `expected` names what would be right.
+    /// Reads and parses a required value; `expected` describes it in the error message.
     pub fn parse<T>(&mut self, key: &str, expected: &str) -> Option<T>
     where
         T: FromStr,
@@ -93,7 +93,7 @@
         value
     }
 
-    /// Reads a value that may be left out but must parse.
+    /// Reads and parses an optional value.
     pub fn optional_parse<T>(&mut self, key: &str, expected: &str) -> Option<T>
     where
         T: FromStr,
@@ -106,7 +106,7 @@
         value
     }
 
-    /// Reads a number within `range`, `default` if left out.
+    /// Reads a number within `range`; returns `default` if it is missing or invalid.
     pub fn number<T>(&mut self, key: &str, range: RangeInclusive<T>, default: T) -> T
     where
         T: FromStr + PartialOrd + Display + Copy,
@@ -122,18 +122,18 @@
         value
     }
 
-    /// Reads a time in milliseconds within `range`, `default` if left out.
+    /// Reads a duration in milliseconds within `range`; returns `default` if it is missing or invalid.
     pub fn millis(&mut self, key: &str, range: RangeInclusive<u64>, default: Duration) -> Duration {
         let default = u64::try_from(default.as_millis()).unwrap_or(u64::MAX);
         Duration::from_millis(self.number(key, range, default))
     }
 
-    /// Reads `true` or `false`, `default` if left out.
+    /// Reads `true` or `false`; returns `default` if it is missing or invalid.
     pub fn flag(&mut self, key: &str, default: bool) -> bool {
         self.optional_parse(key, "true or false").unwrap_or(default)
     }
 
-    /// Reads one of the named choices, `default` if left out.
+    /// Reads one of the named choices; returns `default` if it is missing or unknown.
     pub fn choice<T>(&mut self, key: &str, choices: &[(&str, T)], default: T) -> T
     where
         T: Copy,
@@ -161,12 +161,12 @@
         let item = Item {
             node,
             path: self.path_of(key),
-            noted: Rc::clone(&self.noted),
+            problems: Rc::clone(&self.problems),
         };
         item.section(read)
     }
 
-    /// Reads each element of a list, an empty one if left out.
+    /// Reads each element of a list; returns an empty list if it is missing.
     pub fn list<T, F>(&mut self, key: &str, read: F) -> Vec<T>
     where
         F: FnMut(&Item<'_>) -> Option<T>,
@@ -182,12 +182,12 @@
         let items = sequence.iter().enumerate().map(|(i, node)| Item {
             node,
             path: format!("{path}[{i}]"),
-            noted: Rc::clone(&self.noted),
+            problems: Rc::clone(&self.problems),
         });
         items.collect::<Vec<_>>().iter().filter_map(read).collect()
     }
 
-    /// Reads each pair of an open mapping, whose keys are names.
+    /// Reads each pair of a mapping with arbitrary keys.
     pub fn pairs<T, F>(&mut self, key: &str, mut read: F) -> Vec<(String, T)>
     where
         F: FnMut(&Item<'_>) -> Option<T>,
@@ -205,7 +205,7 @@
             let item = Item {
                 node,
                 path,
-                noted: Rc::clone(&self.noted),
+                problems: Rc::clone(&self.problems),
             };
             if let Some(value) = read(&item) {
                 pairs.push((name.as_str().to_owned(), value));
@@ -214,14 +214,14 @@
         pairs
     }
 
-    /// Reports the keys that nothing asked for.
+    /// Reports the keys that have not been read.
     pub(crate) fn finish(&self) {
         for (key, node) in self.node.iter() {
-            if self.asked.contains(key.as_str()) {
+            if self.read_keys.contains(key.as_str()) {
                 continue;
             }
-            let known: Vec<_> = self.asked.iter().map(String::as_str).collect();
-            self.noted.borrow_mut().push(Problem {
+            let known: Vec<_> = self.read_keys.iter().map(String::as_str).collect();
+            self.problems.borrow_mut().push(Problem {
                 path: self.path_of(key.as_str()),
                 line: key
                     .span()
@@ -243,7 +243,7 @@
     }
 
     fn node_at(&mut self, key: &str) -> Option<&'a Node> {
-        self.asked.insert(key.to_owned());
+        self.read_keys.insert(key.to_owned());
         self.node.get_node(key)
     }
 
@@ -263,7 +263,7 @@
 }
 
 impl Item<'_> {
-    /// Notes a problem at this item.
+    /// Records a problem at this item.
     pub fn note<M>(&self, message: M)
     where
         M: Into<String>,
@@ -274,7 +274,7 @@
             line,
             message: message.into(),
         };
-        self.noted.borrow_mut().push(problem);
+        self.problems.borrow_mut().push(problem);
     }
 
     /// Reads the item as text.
@@ -286,7 +286,7 @@
         scalar.map(|s| s.as_str().to_owned())
     }
 
-    /// Reads the item as a value; `expected` names what would be right.
+    /// Parses the item; `expected` describes the value in the error message.
     pub fn parse<T>(&self, expected: &str) -> Option<T>
     where
         T: FromStr,
@@ -308,7 +308,7 @@
             self.note("expected a mapping of keys to values");
             return None;
         };
-        let mut section = Section::new(mapping, self.path.clone(), Rc::clone(&self.noted));
+        let mut section = Section::new(mapping, self.path.clone(), Rc::clone(&self.problems));
         let value = read(&mut section);
         section.finish();
         Some(value)
