--- a/support/process/src/lib.rs
+++ b/support/process/src/lib.rs
@@ -1,7 +1,7 @@
-//! Processes that tests start, signal and end.
+//! Child processes of tests.
 //!
-//! Only processes that were started here are signalled, by their ids, and each
-//! is killed when its handle is dropped.
+//! Signals are sent only to processes started by this package, by process id,
+//! and each process is killed when its handle is dropped.
 
 mod ports;
 mod process;
--- a/support/process/src/process.rs
+++ b/support/process/src/process.rs
@@ -1,26 +1,26 @@
-//! One process of a deployment under test.
+//! Start, signals and resource usage of a process under test.
 
 use std::fs::File;
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-/// Longest time that a planned stop may take.
+/// Maximum time for a graceful stop; the process is killed afterwards.
 const STOP_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Time between looks at whether a process has ended.
-const STOP_POLL: Duration = Duration::from_millis(20);
+/// Interval at which a stopping process is polled for its exit.
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A running process; killed when dropped.
+/// Running child process; killed when dropped.
 #[derive(Debug)]
 pub struct Process {
     child: Child,
 }
 
-/// Processor time and memory that a process has used.
+/// Resource usage of a process.
 #[derive(Clone, Copy, Debug, Default, serde::Serialize)]
 pub struct Usage {
-    /// Processor time, in seconds.
+    /// CPU time (user and system), in seconds.
     pub cpu_seconds: f64,
     /// Resident memory, in bytes.
     pub memory_bytes: u64,
@@ -29,7 +29,7 @@
 }
 
 impl Process {
-    /// Starts `binary COMMAND SETTINGS`; what it logs goes to a file beside the settings.
+    /// Starts `binary COMMAND SETTINGS`; its output is appended to a file beside the settings.
     ///
     /// # Errors
     ///
@@ -53,58 +53,58 @@
         Ok(Self { child })
     }
 
-    /// Whether the process has ended by itself.
+    /// Whether the process has exited.
     pub fn has_exited(&mut self) -> bool {
         matches!(self.child.try_wait(), Ok(Some(_)))
     }
 
-    /// Ends the process at once.
+    /// Kills the process and waits for its exit.
     pub fn kill(&mut self) {
-        // It may have ended by itself.
+        // Fails if the process has already exited.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 
-    /// Asks the process to stop.
+    /// Requests a graceful stop (SIGTERM).
     pub fn terminate(&self) {
         self.signal("TERM");
     }
 
-    /// Tells the process that its settings have changed.
+    /// Requests a reload of the settings (SIGHUP).
     pub fn reload(&self) {
         self.signal("HUP");
     }
 
-    /// Exit code, if the process has ended with one.
+    /// Returns the exit code; `None` while the process runs or if a signal ended it.
     pub fn exit_code(&mut self) -> Option<i32> {
         self.child.try_wait().ok().flatten()?.code()
     }
 
-    /// Asks the process to stop and waits until it has; returns its exit code.
+    /// Stops the process gracefully and returns its exit code; kills it after the timeout and returns `None`.
     pub async fn stop(&mut self) -> Option<i32> {
         self.signal("TERM");
-        let end = Instant::now() + STOP_TIMEOUT;
-        while Instant::now() < end {
+        let deadline = Instant::now() + STOP_TIMEOUT;
+        while Instant::now() < deadline {
             if let Ok(Some(status)) = self.child.try_wait() {
                 return status.code();
             }
-            tokio::time::sleep(STOP_POLL).await;
+            tokio::time::sleep(STOP_POLL_INTERVAL).await;
         }
         self.kill();
         None
     }
 
-    /// Freezes the process.
+    /// Suspends the process (SIGSTOP).
     pub fn pause(&self) {
         self.signal("STOP");
     }
 
-    /// Lets a frozen process go on.
+    /// Resumes a suspended process (SIGCONT).
     pub fn resume(&self) {
         self.signal("CONT");
     }
 
-    /// Processor time and memory so far; none once it has ended.
+    /// Returns the resource usage so far; `None` once the process has been reaped.
     pub fn usage(&self, age: Duration) -> Option<Usage> {
         let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.child.id())).ok()?;
         let fields: Vec<&str> = stat.rsplit_once(") ")?.1.split(' ').collect();
@@ -128,10 +128,10 @@
     }
 }
 
-/// Unit of processor time in `/proc`.
+/// Clock ticks per second of the CPU times in `/proc`.
 const TICKS_PER_SECOND: f64 = 100.0;
 
-/// Unit of memory in `/proc`.
+/// Page size of the memory figures in `/proc`.
 const PAGE_BYTES: u64 = 4096;
 
 impl Drop for Process {
