--- a/support/wire/src/lib.rs
+++ b/support/wire/src/lib.rs
@@ -1,34 +1,34 @@
-//! Messages of the adapter's fixtures, and answers read back.
+//! HTTP messages for tests, built from the fixtures of the platform adapter.
 //!
-//! The names on the wire stand in the fixtures, because only the adapter knows
-//! them.
+//! The fixtures hold the wire names, which no package but the adapter may
+//! contain.
 
 use std::io;
 use std::path::Path;
 
 use tokio::io::{AsyncRead, AsyncReadExt};
 
-/// Largest message, bytes.
-const MAX_MESSAGE: usize = 1 << 20;
+/// Maximum size of a message.
+const MAX_MESSAGE_BYTES: usize = 1 << 20;
 
-/// A message with places to fill in.
+/// HTTP message with placeholders.
 #[derive(Clone, Debug)]
 pub struct Template(String);
 
 impl Template {
-    /// Reads a fixture.
+    /// Reads the fixture `name`.
     ///
     /// # Errors
     ///
-    /// Fails if there is none of this name.
+    /// Fails if the fixture cannot be read.
     pub fn open(name: &str) -> io::Result<Self> {
-        let folder = Path::new(env!("CARGO_MANIFEST_DIR"))
+        let path = Path::new(env!("CARGO_MANIFEST_DIR"))
             .join("../../platform/tests/fixtures")
             .join(name);
-        std::fs::read_to_string(folder).map(Self)
+        std::fs::read_to_string(path).map(Self)
     }
 
-    /// Fills in the places and the length of the body.
+    /// Replaces the placeholders and sets the length of the body.
     pub fn fill(&self, values: &[(&str, &str)]) -> String {
         let mut text = self.0.clone();
         for (name, value) in values {
@@ -47,51 +47,51 @@
         format!("{head}\r\n\r\n{body}")
     }
 
-    /// Name of the header whose value is the place `name`.
+    /// Returns the name of the header whose value is the placeholder `name`; empty if there is none.
     pub fn header(&self, name: &str) -> String {
-        let place = format!("{{{name}}}");
-        let line = self.0.lines().find(|l| l.ends_with(&place));
+        let placeholder = format!("{{{name}}}");
+        let line = self.0.lines().find(|l| l.ends_with(&placeholder));
         let header = line.and_then(|l| l.split_once(':')).map(|(h, _)| h);
         header.unwrap_or_default().to_ascii_lowercase()
     }
 }
 
-/// A request or answer.
+/// HTTP request or answer.
 #[derive(Clone, Debug, Default)]
 pub struct Message {
     head: String,
-    /// Body as far as it came, without its framing.
+    /// Body as far as received, without its framing.
     pub body: String,
-    /// Whether it came to its end.
+    /// Whether the body was received completely.
     pub complete: bool,
 }
 
 impl Message {
-    /// Status of an answer; zero if it has none.
+    /// Returns the status of an answer; 0 if it has none.
     pub fn status(&self) -> u16 {
         let status = self.head.split(' ').nth(1);
         status.and_then(|s| s.parse().ok()).unwrap_or(0)
     }
 
-    /// First line.
+    /// Returns the request or status line.
     pub fn first_line(&self) -> &str {
         self.head.lines().next().unwrap_or("")
     }
 
-    /// Value of a header; empty if it has none.
+    /// Returns the value of a header; empty if it is absent.
     pub fn header(&self, name: &str) -> &str {
         let mut lines = self.head.lines().filter_map(|l| l.split_once(':'));
         let line = lines.find(|(n, _)| n.eq_ignore_ascii_case(name));
         line.map_or("", |(_, value)| value.trim())
     }
 
-    /// Whether the connection may be used again.
+    /// Whether the connection can be reused for another request.
     pub fn keeps_connection(&self) -> bool {
         self.complete && !self.header("connection").eq_ignore_ascii_case("close")
     }
 }
 
-/// Reads a message; none if the connection ended before its head was whole.
+/// Reads a message; `None` if the connection ended before the head was complete.
 pub async fn read_message<S>(stream: &mut S) -> Option<Message>
 where
     S: AsyncRead + Unpin,
@@ -101,7 +101,7 @@
         if let Some(end) = find(&bytes, b"\r\n\r\n") {
             break end;
         }
-        if !more(stream, &mut bytes).await {
+        if !read_more(stream, &mut bytes).await {
             return None;
         }
     };
@@ -111,19 +111,19 @@
     };
     let mut rest = bytes.split_off(head + 4);
     if message.header("transfer-encoding").contains("chunked") {
-        while !rest.ends_with(b"0\r\n\r\n") && more(stream, &mut rest).await {}
+        while !rest.ends_with(b"0\r\n\r\n") && read_more(stream, &mut rest).await {}
         message.complete = rest.ends_with(b"0\r\n\r\n");
-        message.body = unchunk(&rest);
+        message.body = decode_chunks(&rest);
         return Some(message);
     }
     let length = message.header("content-length").parse().unwrap_or(0);
-    while rest.len() < length && more(stream, &mut rest).await {}
+    while rest.len() < length && read_more(stream, &mut rest).await {}
     message.complete = rest.len() == length;
     message.body = String::from_utf8_lossy(&rest).into_owned();
     Some(message)
 }
 
-/// An answer as text, with its headers in order and without its date.
+/// Normalizes the text of an answer: sorts its headers and removes the date.
 pub fn normalize(text: &str) -> String {
     let (head, body) = text.split_once("\r\n\r\n").unwrap_or((text, ""));
     let mut lines: Vec<&str> = head
@@ -136,20 +136,20 @@
     format!("{}\n\n{}", lines.join("\n"), body.replace("\r\n", "\n"))
 }
 
-async fn more<S>(stream: &mut S, bytes: &mut Vec<u8>) -> bool
+async fn read_more<S>(stream: &mut S, bytes: &mut Vec<u8>) -> bool
 where
     S: AsyncRead + Unpin,
 {
     let read = stream.read_buf(bytes).await;
-    matches!(read, Ok(n) if n > 0) && bytes.len() < MAX_MESSAGE
+    matches!(read, Ok(n) if n > 0) && bytes.len() < MAX_MESSAGE_BYTES
 }
 
-fn find(bytes: &[u8], what: &[u8]) -> Option<usize> {
-    bytes.windows(what.len()).position(|w| w == what)
+fn find(bytes: &[u8], needle: &[u8]) -> Option<usize> {
+    bytes.windows(needle.len()).position(|w| w == needle)
 }
 
-/// Joins the chunks that are whole.
-fn unchunk(bytes: &[u8]) -> String {
+/// Joins the complete chunks of a chunked body.
+fn decode_chunks(bytes: &[u8]) -> String {
     let mut body = Vec::new();
     let mut rest = bytes;
     while let Some(end) = find(rest, b"\r\n") {
