--- a/app/src/fleet/control/roster.rs
+++ b/app/src/fleet/control/roster.rs
@@ -158,7 +158,7 @@
         addresses.truncate(MAX_ADDRESSES);
         Entries {
             addresses,
-            ttl: self.keep,
+            ttl: self.ttl,
         }
     }
 }
--- a/app/src/fleet/entry/callers.rs
+++ b/app/src/fleet/entry/callers.rs
@@ -31,7 +31,7 @@
         addresses.truncate(MAX_ADDRESSES);
         Entries {
             addresses,
-            ttl: self.keep,
+            ttl: self.ttl,
         }
     }
 }
--- a/app/src/fleet/entry/mod.rs
+++ b/app/src/fleet/entry/mod.rs
@@ -72,9 +72,9 @@
         let options = FrontendOptions {
             callers,
             ready,
-            max_connections: connections(settings),
-            idle_timeout: IDLE,
-            head_timeout: HEAD,
+            max_connections: max_connections(settings),
+            idle_timeout: IDLE_TIMEOUT,
+            head_timeout: HEAD_TIMEOUT,
         };
         let server = FrontendServer::bind(options, EntryRelay::new(state.clone()))?;
         let directory = open_directory(settings, CallerDirectory::new(state.clone(), settings))?;
--- a/app/src/fleet/entry/relay.rs
+++ b/app/src/fleet/entry/relay.rs
@@ -70,7 +70,10 @@
             let failure = Failure::new(ErrorKind::Internal, "the route has no service");
             return Err(Box::new((call, failure.with_ran(Ran::No))));
         };
-        let patience = call.timeout.unwrap_or(PATIENCE).min(found.route.timeout);
+        let timeout = call
+            .timeout
+            .unwrap_or(DEFAULT_TIMEOUT)
+            .min(found.route.timeout);
         let policy = Policy {
             repeatable: found.route.repeatable(),
             attempts: found.route.attempts,
--- a/app/src/fleet/scrape.rs
+++ b/app/src/fleet/scrape.rs
@@ -45,7 +45,11 @@
     }
 }
 
-/// Serves metrics at `address`, if there is one; without it they go nowhere.
+/// Serves metrics at `address`; without an address they are discarded.
+///
+/// # Errors
+///
+/// Fails if the address cannot be bound.
 pub(super) fn serve(address: Option<SocketAddr>, drops: DropCounter) -> std::io::Result<Scraped> {
     let probes = Arc::default();
     let Some(address) = address else {
