--- a/app/src/explain/cause.rs
+++ b/app/src/explain/cause.rs
@@ -1,20 +1,20 @@
-//! Says why a request went as it did.
+//! Sentences that state the causes of the outcome of a request.
 
 use pimentotide_observe::{Dropped, Line};
 
 use super::Record;
 use crate::lines::{Answered, BrokenOff, Ejected, Interrupted, Ready, Refused};
 
-/// Sentences on the lines of a request, in order, given the lines on what it met.
+/// Returns one sentence per relevant line of the request, in order; `near` are the related lines.
 pub(super) fn causes(own: &[&Record], near: &[&Record]) -> Vec<String> {
     let mut sentences: Vec<String> = own.iter().filter_map(|r| sentence(r, near)).collect();
     if !own.iter().any(|r| is_end(&r.event)) {
-        sentences.push(unended(own, near));
+        sentences.push(unfinished(own, near));
     }
     sentences
 }
 
-/// Whether an event ends a request.
+/// Whether an event is the last one of a request.
 fn is_end(event: &str) -> bool {
     [Answered::EVENT, Refused::EVENT, BrokenOff::EVENT].contains(&event)
 }
@@ -24,7 +24,7 @@
         Interrupted::EVENT => Some(interrupted(record, near)),
         Refused::EVENT => Some(refused(record)),
         BrokenOff::EVENT => Some(format!(
-            "The caller had {} events when the stream was broken off: {}.",
+            "The stream was aborted after the caller had received {} events: {}.",
             record.number("events"),
             record.text("detail")
         )),
@@ -42,11 +42,11 @@
 fn interrupted(record: &Record, near: &[&Record]) -> String {
     let upstream = record.text("upstream");
     let how = match record.text("ended") {
-        "Unsent" => "could not be connected to, so the request was not sent there",
-        "Rejected" => "said that it did not run the request",
-        "Broken" => "broke the connection, or sent bytes that make no sense",
-        "Failed" => "answered with a failure of its own",
-        "Silent" => "sent nothing for too long",
+        "Unsent" => "could not be reached, so the request was not sent",
+        "Rejected" => "rejected the request without running it",
+        "Broken" => "closed the connection or sent a malformed answer",
+        "Failed" => "answered with an error",
+        "Silent" => "timed out",
         other => other,
     };
     let passed = match record.number("events") {
@@ -58,12 +58,12 @@
         (_, "") => "It was not sent again".to_owned(),
         (_, reason) => format!("It was not sent again: {reason}"),
     };
-    let state = state_of(upstream, near);
+    let state = state_changes(upstream, near);
     format!("Upstream {upstream} {how}{passed}{state}. {next}.")
 }
 
-/// What was told of an upstream around that time.
-fn state_of(upstream: &str, near: &[&Record]) -> String {
+/// Lists the state changes of an upstream in the related lines.
+fn state_changes(upstream: &str, near: &[&Record]) -> String {
     let changes: Vec<&str> = near
         .iter()
         .filter(|r| r.text("upstream") == upstream)
@@ -76,7 +76,7 @@
     if changes.is_empty() {
         String::new()
     } else {
-        format!(" (around then: {})", changes.join(", "))
+        format!(" (state changes: {})", changes.join(", "))
     }
 }
 
@@ -103,7 +103,7 @@
     )
 }
 
-fn unended(own: &[&Record], near: &[&Record]) -> String {
+fn unfinished(own: &[&Record], near: &[&Record]) -> String {
     let process = own.last().map_or("", |r| r.process.as_str());
     let restarted = near
         .iter()
@@ -111,12 +111,12 @@
     let dropped = near
         .iter()
         .any(|r| r.process == process && r.event == Dropped::EVENT);
-    let guess = if restarted {
-        "the process started anew, so the request was lost with the one before"
+    let likely = if restarted {
+        "the process restarted, so the request was lost"
     } else if dropped {
-        "lines were dropped under load, its last one may be among them"
+        "log lines were dropped under load, possibly its last one"
     } else {
-        "the caller left first, or the process died"
+        "the caller disconnected, or the process crashed"
     };
-    format!("No line tells how it ended: {guess}.")
+    format!("No line records the end of the request: {likely}.")
 }
--- a/app/src/explain/story.rs
+++ b/app/src/explain/explanation.rs
@@ -1,4 +1,4 @@
-//! The lines that tell what became of a request, in order of time.
+//! Selection of the log lines that explain the outcome of a request, in order of time.
 
 use std::collections::BTreeSet;
 use std::fmt;
@@ -13,14 +13,14 @@
     ReplicaFollowed, ReplicaLost, RoleChanged, Stopped, Stopping, UpstreamChanged, ZonesClosed,
 };
 
-/// Events on the whole deployment that may bear on any request.
-const SHARED: [&str; 3] = [
+/// Events that may affect any request of the deployment.
+const GLOBAL_EVENTS: [&str; 3] = [
     ExpertsMoved::EVENT,
     GroupReleased::EVENT,
     RoleChanged::EVENT,
 ];
-/// Events on a process that bear on the requests it handles.
-const LOCAL: [&str; 10] = [
+/// Events that affect the requests of the process that logs them.
+const PROCESS_EVENTS: [&str; 10] = [
     Ready::EVENT,
     Stopping::EVENT,
     Stopped::EVENT,
@@ -32,22 +32,22 @@
     ZonesClosed::EVENT,
     Dropped::EVENT,
 ];
-/// Events on one upstream, as a process sees it.
-const UPSTREAM: [&str; 2] = [Ejected::EVENT, UpstreamChanged::EVENT];
+/// Events about one upstream in the view of a process.
+const UPSTREAM_EVENTS: [&str; 2] = [Ejected::EVENT, UpstreamChanged::EVENT];
 
-/// What became of one request.
+/// Lines and causes that explain the outcome of one request.
 #[derive(Clone, Debug)]
-pub struct Story {
+pub struct Explanation {
     request: String,
     lines: Vec<(Record, bool)>,
     causes: Vec<String>,
 }
 
-/// Puts together the story of a request; none if no line tells of it.
+/// Explains the outcome of a request; `None` if no line mentions it.
 ///
-/// Lines on what it met are taken from `around` before its first line to as
-/// long after its last one.
-pub fn tell(records: &[Record], request: &str, around: Duration) -> Option<Story> {
+/// Related lines are taken from `around` before the first line of the request to
+/// `around` after its last one.
+pub fn explain(records: &[Record], request: &str, around: Duration) -> Option<Explanation> {
     let mut own: Vec<&Record> = records
         .iter()
         .filter(|r| r.text("request") == request)
@@ -55,29 +55,29 @@
     own.sort_by_key(|r| r.since);
     let (first, last) = (own.first()?.since, own.last()?.since);
     let span = first.saturating_sub(around)..=last + around;
-    let met = Met::of(&own);
+    let participants = Participants::of(&own);
     let near = records
         .iter()
-        .filter(|r| span.contains(&r.since) && met.bears(r));
+        .filter(|r| span.contains(&r.since) && participants.is_related(r));
     let near: Vec<&Record> = near.collect();
     let causes = causes(&own, &near);
     let mut lines: Vec<(Record, bool)> = own.into_iter().map(|r| (r.clone(), true)).collect();
     lines.extend(near.into_iter().map(|r| (r.clone(), false)));
     lines.sort_by_key(|(r, _)| r.since);
-    Some(Story {
+    Some(Explanation {
         request: request.to_owned(),
         lines,
         causes,
     })
 }
 
-/// Processes and upstreams that a request met.
-struct Met<'a> {
+/// Processes and upstreams that handled a request.
+struct Participants<'a> {
     processes: BTreeSet<&'a str>,
     upstreams: BTreeSet<&'a str>,
 }
 
-impl<'a> Met<'a> {
+impl<'a> Participants<'a> {
     fn of(own: &[&'a Record]) -> Self {
         let upstreams = own.iter().map(|r| r.text("upstream"));
         Self {
@@ -86,21 +86,23 @@
         }
     }
 
-    /// Whether a line that is not on the request may explain what became of it.
-    fn bears(&self, record: &Record) -> bool {
+    /// Whether a line of another event may explain the outcome of the request.
+    fn is_related(&self, record: &Record) -> bool {
         let event = record.event.as_str();
-        let here = self.processes.contains(record.process.as_str());
+        let same_process = self.processes.contains(record.process.as_str());
         if event == Ordered::EVENT {
             let subject = record.text("subject").split(' ').next().unwrap_or("");
             return self.upstreams.contains(subject);
         }
-        let met = self.upstreams.contains(record.text("upstream"));
-        SHARED.contains(&event)
-            || here && (LOCAL.contains(&event) || met && UPSTREAM.contains(&event))
+        let same_upstream = self.upstreams.contains(record.text("upstream"));
+        GLOBAL_EVENTS.contains(&event)
+            || same_process
+                && (PROCESS_EVENTS.contains(&event)
+                    || same_upstream && UPSTREAM_EVENTS.contains(&event))
     }
 }
 
-impl fmt::Display for Story {
+impl fmt::Display for Explanation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(f, "request {}", self.request)?;
         let width = self.lines.iter().map(|(r, _)| r.process.len()).max();
--- a/app/src/explain/mod.rs
+++ b/app/src/explain/mod.rs
@@ -1,13 +1,13 @@
-//! Command `explain`: the story of one request from the logs of any number of processes.
+//! Command `explain`: the outcome of one request from the logs of any number of processes.
 //!
-//! Reads log lines, keeps those on the request and those that tell of what it
-//! met at that time, puts them in order and says in a sentence each why it went
-//! as it did. Lines that are no JSON object are counted and told on standard
-//! error; what stands before the object on a line names the process.
+//! Reads log lines, selects those of the request and related ones of the same
+//! time, sorts them by time and states the causes of the outcome. Unreadable
+//! lines are counted and reported on standard error. The text before the JSON
+//! object of a line names the process.
 
 mod cause;
+mod explanation;
 mod record;
-mod story;
 
 use std::fs::File;
 use std::io::{self, BufRead, BufReader, Write};
@@ -17,26 +17,26 @@
 
 use derive_more::Display;
 
+pub use explanation::{Explanation, explain};
 pub use record::{LineError, Record};
-pub use story::{Story, tell};
 
 use crate::options::EXIT_USAGE;
 
-/// Exit code if no line tells of the request.
-const EXIT_UNKNOWN: u8 = 1;
-/// Damaged lines that are told one by one.
-const MAX_TOLD: usize = 5;
-/// Time before and after a request from which lines on what it met are shown.
-const AROUND: Duration = Duration::from_secs(2);
+/// Exit code if no line mentions the request.
+const EXIT_NOT_FOUND: u8 = 1;
+/// Maximum number of unreadable lines reported one by one.
+const MAX_REPORTED: usize = 5;
+/// Default of `--around`.
+const DEFAULT_AROUND: Duration = Duration::from_secs(2);
 
-/// What `explain` is asked for.
+/// Options of `explain`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ExplainOptions {
     /// Request id.
     pub request: String,
     /// Files with log lines; standard input if there are none.
     pub files: Vec<PathBuf>,
-    /// Time before and after the request from which lines on what it met are shown.
+    /// Time before and after the request in which related lines are shown.
     pub around: Duration,
 }
 
@@ -45,68 +45,68 @@
         Self {
             request: String::new(),
             files: Vec::new(),
-            around: AROUND,
+            around: DEFAULT_AROUND,
         }
     }
 }
 
-/// A line or file that cannot be used.
+/// Error of one input line or file.
 #[derive(Debug, Display)]
-enum Damage {
+enum InputError {
     /// A line is not a log line.
     #[display("{_0}:{_1}: {_2}")]
     Line(String, usize, LineError),
-    /// A file breaks off.
+    /// Reading a file fails before its end.
     #[display("{_0}: {_1}")]
     File(String, io::Error),
 }
 
-/// Prints the story of one request.
+/// Prints the explanation of one request.
 pub fn run(options: &ExplainOptions) -> ExitCode {
     let mut records = Vec::new();
-    let mut damages = Vec::new();
+    let mut errors = Vec::new();
     if options.files.is_empty() {
         read(
             "standard input",
             io::stdin().lock(),
             &mut records,
-            &mut damages,
+            &mut errors,
         );
     }
     for path in &options.files {
         let name = path.display().to_string();
         match File::open(path) {
-            Ok(file) => read(&name, BufReader::new(file), &mut records, &mut damages),
+            Ok(file) => read(&name, BufReader::new(file), &mut records, &mut errors),
             Err(e) => {
                 eprintln!("pimentotide: {name}: {e}");
                 return ExitCode::from(EXIT_USAGE);
             }
         }
     }
-    for damage in damages.iter().take(MAX_TOLD) {
-        eprintln!("pimentotide: {damage}");
+    for error in errors.iter().take(MAX_REPORTED) {
+        eprintln!("pimentotide: {error}");
     }
-    if damages.len() > MAX_TOLD {
+    if errors.len() > MAX_REPORTED {
         eprintln!(
-            "pimentotide: {} more lines cannot be read",
-            damages.len() - MAX_TOLD
+            "pimentotide: {} more unreadable lines",
+            errors.len() - MAX_REPORTED
         );
     }
-    match tell(&records, &options.request, options.around) {
-        Some(story) => print(&story),
+    match explain(&records, &options.request, options.around) {
+        Some(explanation) => print(&explanation),
         None => {
             eprintln!(
-                "pimentotide: none of {} lines tells of request {}",
+                "pimentotide: none of {} lines mentions request {}",
                 records.len(),
                 options.request
             );
-            ExitCode::from(EXIT_UNKNOWN)
+            ExitCode::from(EXIT_NOT_FOUND)
         }
     }
 }
 
-fn print(story: &Story) -> ExitCode {
-    match write!(io::stdout().lock(), "{story}") {
+fn print(explanation: &Explanation) -> ExitCode {
+    match write!(io::stdout().lock(), "{explanation}") {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
             eprintln!("pimentotide: {e}");
@@ -115,7 +115,7 @@
     }
 }
 
-fn read<R>(name: &str, input: R, records: &mut Vec<Record>, damages: &mut Vec<Damage>)
+fn read<R>(name: &str, input: R, records: &mut Vec<Record>, errors: &mut Vec<InputError>)
 where
     R: BufRead,
 {
@@ -123,7 +123,7 @@
         let line = match line {
             Ok(line) => line,
             Err(e) => {
-                damages.push(Damage::File(name.to_owned(), e));
+                errors.push(InputError::File(name.to_owned(), e));
                 return;
             }
         };
@@ -133,7 +133,7 @@
         }
         match Record::parse(&text, name) {
             Ok(record) => records.push(record),
-            Err(e) => damages.push(Damage::Line(name.to_owned(), index + 1, e)),
+            Err(e) => errors.push(InputError::Line(name.to_owned(), index + 1, e)),
         }
     }
 }
--- a/app/src/explain/record.rs
+++ b/app/src/explain/record.rs
@@ -1,34 +1,35 @@
-//! One log line, read back.
+//! Parser of one log line.
 
 use std::time::Duration;
 
 use derive_more::Display;
 use serde_json::{Map, Value};
 
-/// Why a line is not a log line.
+/// Reason why a line is not a log line.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum LineError {
-    /// No JSON object is on the line.
+    /// The line contains no JSON object.
     #[display("no JSON object")]
     NoObject,
-    /// The object is not whole.
-    #[display("damaged JSON object")]
+    /// The JSON object is truncated or malformed.
+    #[display("malformed JSON object")]
     Damaged,
-    /// It has no time of day or no event.
-    #[display("no `time` or no `event`")]
+    /// The object lacks a valid `time` or an `event`.
+    #[display("missing `time` or `event`")]
     Incomplete,
 }
 
 impl std::error::Error for LineError {}
 
-/// A log line.
+/// Parsed log line.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Record {
-    /// Process that wrote it: what stands before the object, or the file.
+    /// Process that wrote the line: the last word before the object that is not a number, otherwise
+    /// the file name.
     pub process: String,
-    /// Time as it was written.
+    /// Timestamp as written.
     pub time: String,
-    /// Time of day since midnight; the day is that of the other lines.
+    /// Time since midnight; the date is ignored, so all lines must be of the same day.
     pub since: Duration,
     /// Name of the event.
     pub event: String,
@@ -37,11 +38,11 @@
 }
 
 impl Record {
-    /// Reads a line; `origin` names the process if the line does not.
+    /// Parses a line; `origin` names the process if the line does not.
     ///
     /// # Errors
     ///
-    /// Fails if the line holds no whole object with `time` and `event`.
+    /// Fails if the line has no complete JSON object with `time` and `event`.
     pub fn parse(line: &str, origin: &str) -> Result<Self, LineError> {
         let start = line.find('{').ok_or(LineError::NoObject)?;
         let (before, object) = line.split_at(start);
@@ -69,18 +70,18 @@
         })
     }
 
-    /// A field as text; empty if there is none.
+    /// Returns a field as text; empty if it is missing.
     pub fn text(&self, name: &str) -> &str {
         self.fields.get(name).and_then(Value::as_str).unwrap_or("")
     }
 
-    /// A field as a number; zero if there is none.
+    /// Returns a field as a number; zero if it is missing.
     pub fn number(&self, name: &str) -> u64 {
         self.fields.get(name).and_then(Value::as_u64).unwrap_or(0)
     }
 }
 
-/// Time of day of a time such as `2026-12-04T01:02:03.000456Z`.
+/// Returns the time of day of a timestamp such as `2026-12-04T01:02:03.000456Z`.
 fn since_midnight(time: &str) -> Option<Duration> {
     let clock = time.split_once('T')?.1.trim_end_matches('Z');
     let mut parts = clock.splitn(3, ':');
