--- a/app/src/main.rs
+++ b/app/src/main.rs
@@ -1,4 +1,4 @@
-//! Starts the command that the command line names.
+//! Binary entry point.
 
 use std::process::ExitCode;
 
--- a/app/src/operator/arguments.rs
+++ b/app/src/operator/arguments.rs
@@ -1,4 +1,4 @@
-//! Options and words of an operator's command line.
+//! Options and positional arguments of the operator subcommands.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -13,24 +13,24 @@
 use pimentotide_operator::command::Envelope;
 use rand::RngExt;
 
-/// Actor of orders if neither an option nor the environment names one.
+/// Actor of orders if neither `--actor` nor `USER` is set.
 const DEFAULT_ACTOR: &str = "operator";
 
-/// Longest time limit, seconds.
+/// Upper limit of `--timeout`.
 const MAX_TIMEOUT_SECONDS: u64 = 3_600;
 
-/// What is wrong with a command line.
+/// Message of a usage error.
 #[derive(Debug, Display)]
 pub(super) struct UsageError(pub(super) String);
 
-/// Command line of an operator.
+/// Arguments of an operator subcommand; each getter consumes its argument.
 #[derive(Debug)]
 pub(super) struct Arguments {
-    /// Whether help is asked for.
+    /// Whether help is requested.
     pub(super) help: bool,
-    /// Addresses of replicas.
+    /// Addresses of control replicas.
     pub(super) operators: Vec<String>,
-    /// Time after which to give up.
+    /// Total time limit of the command.
     pub(super) timeout: Duration,
     words: VecDeque<String>,
     json: bool,
@@ -45,7 +45,7 @@
 }
 
 impl Arguments {
-    /// Reads the command line.
+    /// Parses the arguments after the subcommand.
     pub(super) fn read(mut parser: lexopt::Parser) -> Result<Self, UsageError> {
         let mut arguments = Self {
             help: false,
@@ -62,17 +62,17 @@
             profile: None,
             address: None,
         };
-        while let Some(argument) = parser.next().map_err(|e| wrong(&e))? {
+        while let Some(argument) = parser.next().map_err(|e| usage_error(&e))? {
             match argument {
                 Value(word) => arguments
                     .words
-                    .push_back(word.string().map_err(|e| wrong(&e))?),
+                    .push_back(word.string().map_err(|e| usage_error(&e))?),
                 Short('h') => arguments.help = true,
                 Long(name) => {
                     let name = name.to_owned();
                     arguments.option(&name, &mut parser)?;
                 }
-                other => return Err(wrong(&other.unexpected())),
+                other => return Err(usage_error(&other.unexpected())),
             }
         }
         if arguments.operators.is_empty() {
@@ -81,18 +81,18 @@
         Ok(arguments)
     }
 
-    /// Takes the next word; `what` says what it should be.
+    /// Consumes the next positional argument; `what` describes it in errors.
     pub(super) fn word(&mut self, what: &str) -> Result<String, UsageError> {
         let word = self.words.pop_front();
         word.ok_or_else(|| UsageError(format!("missing {what}")))
     }
 
-    /// Takes the next word if there is one.
+    /// Consumes the next positional argument, if there is one.
     pub(super) fn optional_word(&mut self) -> Option<String> {
         self.words.pop_front()
     }
 
-    /// Takes the next word as a name.
+    /// Consumes the next positional argument as a name.
     pub(super) fn name<N>(&mut self, what: &str) -> Result<N, UsageError>
     where
         N: From<String>,
@@ -101,22 +101,22 @@
         valid_name(what, word)
     }
 
-    /// Takes `--prune`.
+    /// Consumes `--prune`.
     pub(super) fn prune(&mut self) -> bool {
         self.prune.take().unwrap_or(false)
     }
 
-    /// Takes `--fenced`.
+    /// Consumes `--fenced`.
     pub(super) fn fenced(&mut self) -> Option<bool> {
         self.fenced.take()
     }
 
-    /// Takes `--kind`.
+    /// Consumes `--kind`.
     pub(super) fn kind(&mut self) -> Option<String> {
         self.kind.take()
     }
 
-    /// Takes `--profile`, which must be given.
+    /// Consumes `--profile`, which is required.
     pub(super) fn profile<N>(&mut self) -> Result<N, UsageError>
     where
         N: From<String>,
@@ -125,35 +125,35 @@
         valid_name("--profile", required("--profile", profile)?)
     }
 
-    /// Takes `--address`, which must be given.
+    /// Consumes `--address`, which is required.
     pub(super) fn address(&mut self) -> Result<String, UsageError> {
         let address = required("--address", self.address.take())?;
         valid_address(address)
     }
 
-    /// Checks that nothing is left over.
+    /// Checks that every argument was consumed.
     pub(super) fn finish(&mut self) -> Result<(), UsageError> {
         if let Some(word) = self.words.pop_front() {
             return Err(UsageError(format!("unexpected {word:?}")));
         }
-        let left = [
+        let unused = [
             ("--prune", self.prune.is_some()),
             ("--fenced", self.fenced.is_some()),
             ("--kind", self.kind.is_some()),
             ("--profile", self.profile.is_some()),
             ("--address", self.address.is_some()),
         ];
-        match left.iter().find(|(_, given)| *given) {
-            Some((name, _)) => Err(UsageError(format!("{name} does not fit this command"))),
+        match unused.iter().find(|(_, given)| *given) {
+            Some((name, _)) => Err(UsageError(format!("{name} does not apply to this command"))),
             None => Ok(()),
         }
     }
 
-    /// Builds what surrounds an order.
+    /// Builds the envelope of an order; its id is random unless `--order` is given.
     pub(super) fn envelope(&self) -> Envelope {
         let actor = self.actor.clone().or_else(|| std::env::var("USER").ok());
         let actor = actor.filter(|a| !a.is_empty());
-        let id = self.order.clone().unwrap_or_else(fresh_id);
+        let id = self.order.clone().unwrap_or_else(random_order_id);
         Envelope {
             id: OrderId::from(id),
             actor: actor.unwrap_or(DEFAULT_ACTOR.to_owned()),
@@ -187,7 +187,7 @@
 
 fn text(parser: &mut lexopt::Parser) -> Result<String, UsageError> {
     let value = parser.value().and_then(|v| v.string());
-    value.map_err(|e| wrong(&e))
+    value.map_err(|e| usage_error(&e))
 }
 
 fn parsed<T>(name: &str, expected: &str, parser: &mut lexopt::Parser) -> Result<T, UsageError>
@@ -195,8 +195,8 @@
     T: FromStr,
 {
     let text = text(parser)?;
-    let wrong = |_| UsageError(format!("--{name}: expected {expected}, found {text:?}"));
-    text.parse().map_err(wrong)
+    let invalid = |_| UsageError(format!("--{name}: expected {expected}, found {text:?}"));
+    text.parse().map_err(invalid)
 }
 
 fn required(name: &str, value: Option<String>) -> Result<String, UsageError> {
@@ -225,11 +225,11 @@
     )))
 }
 
-fn wrong(error: &lexopt::Error) -> UsageError {
+fn usage_error(error: &lexopt::Error) -> UsageError {
     UsageError(error.to_string())
 }
 
-fn fresh_id() -> String {
+fn random_order_id() -> String {
     let id: u128 = rand::rng().random();
     format!("{id:032x}")
 }
--- a/app/src/operator/mod.rs
+++ b/app/src/operator/mod.rs
@@ -1,7 +1,7 @@
-//! Commands of operators: `profile`, `service`, `zone`, `upstream`, `replica`, `group`, `status`.
+//! Operator subcommands: `profile`, `service`, `zone`, `upstream`, `replica`, `group`, `status`.
 //!
-//! Exit codes: 0 done, 1 refused, 2 wrong usage or a wrong document, 3 another
-//! order came first, 4 no answer.
+//! Exit codes: 0 done, 1 refused, 2 usage error or invalid document, 3 conflict
+//! with an earlier order, 4 no answer.
 
 mod arguments;
 mod help;
@@ -15,27 +15,27 @@
 
 use arguments::{Arguments, UsageError};
 
-/// Subcommands that [`run`] carries out.
+/// Names of the subcommands that [`run`] accepts.
 pub const SUBCOMMANDS: &[&str] = &[
     "profile", "service", "zone", "upstream", "replica", "group", "status",
 ];
 
-/// Carries out one subcommand of an operator; `parser` stands after its name.
+/// Runs one operator subcommand; `parser` holds the arguments after its name.
 pub fn run(subcommand: &str, parser: lexopt::Parser) -> ExitCode {
     let output = match Arguments::read(parser) {
         Ok(arguments) if arguments.help => Output {
-            text: help::of(subcommand),
+            text: help::text(subcommand),
             error: String::new(),
             exit: Exit::Done,
         },
-        Ok(arguments) => carry_out(subcommand, arguments),
-        Err(error) => misused(subcommand, &error),
+        Ok(arguments) => run_request(subcommand, arguments),
+        Err(error) => usage_failure(subcommand, &error),
     };
     print(&output);
     ExitCode::from(output.exit.code())
 }
 
-fn carry_out(subcommand: &str, mut arguments: Arguments) -> Output {
+fn run_request(subcommand: &str, mut arguments: Arguments) -> Output {
     let request = request::read(subcommand, &mut arguments);
     let request = request.and_then(|request| arguments.finish().map(|()| request));
     match request {
@@ -44,11 +44,11 @@
             let client = client.with_total_timeout(arguments.timeout);
             execute(&client, &arguments.envelope(), request).await
         }),
-        Err(error) => misused(subcommand, &error),
+        Err(error) => usage_failure(subcommand, &error),
     }
 }
 
-fn misused(subcommand: &str, error: &UsageError) -> Output {
+fn usage_failure(subcommand: &str, error: &UsageError) -> Output {
     Output {
         text: String::new(),
         error: format!("{error}\nsee pimentotide {subcommand} --help\n"),
@@ -56,7 +56,7 @@
     }
 }
 
-/// Prints what it can; a closed pipe does not change what was done.
+/// Prints the output; write errors are ignored because a closed pipe does not change the outcome.
 fn print(output: &Output) {
     let _ = std::io::stdout().write_all(output.text.as_bytes());
     let _ = std::io::stderr().write_all(output.error.as_bytes());
--- a/app/src/operator/request.rs
+++ b/app/src/operator/request.rs
@@ -1,4 +1,4 @@
-//! From words to requests.
+//! Conversion of command-line arguments to requests.
 
 use std::io::Read;
 
@@ -11,10 +11,10 @@
 
 use super::arguments::{Arguments, UsageError};
 
-/// Stands for all groups where a group may be named.
+/// Keyword that selects all groups.
 const ALL: &str = "all";
 
-/// Reads the request of a subcommand.
+/// Builds the request of a subcommand.
 pub(super) fn read(subcommand: &str, arguments: &mut Arguments) -> Result<Request, UsageError> {
     if subcommand == "status" {
         return Ok(Request::Status);
@@ -47,7 +47,7 @@
         ("upstream", verb) => Ok(Request::Order(upstream(verb, arguments)?)),
         ("replica", verb) => replica(verb, arguments),
         ("group", verb) => group(verb, arguments),
-        _ => Err(unknown(&verb)),
+        _ => Err(unknown_command(&verb)),
     }
 }
 
@@ -93,7 +93,7 @@
         "remove" => Ok(Request::Change(MemberChange::Remove {
             name: arguments.name("a replica")?,
         })),
-        other => Err(unknown(other)),
+        other => Err(unknown_command(other)),
     }
 }
 
@@ -103,7 +103,7 @@
         "show" => Ok(Request::Group(arguments.name("a group")?)),
         "pause" => Ok(Request::Order(ActionRequest::Pause(scope(arguments)?))),
         "resume" => Ok(Request::Order(ActionRequest::Resume(scope(arguments)?))),
-        other => Err(unknown(other)),
+        other => Err(unknown_command(other)),
     }
 }
 
@@ -119,7 +119,7 @@
     match verb {
         "in" => Ok(AdminState::In),
         "out" => Ok(AdminState::Out),
-        other => Err(unknown(other)),
+        other => Err(unknown_command(other)),
     }
 }
 
@@ -145,6 +145,6 @@
     Ok(text)
 }
 
-fn unknown(verb: &str) -> UsageError {
+fn unknown_command(verb: &str) -> UsageError {
     UsageError(format!("unknown command {verb:?}"))
 }
--- a/app/src/options/mod.rs
+++ b/app/src/options/mod.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Command line of the binary.
 
 mod help;
 mod parse;
@@ -7,10 +7,10 @@
 
 pub use parse::{Command, LocalOptions, UsageError, parse};
 
-/// Exit code of wrong usage or wrong settings.
+/// Exit code for usage errors and invalid settings.
 pub const EXIT_USAGE: u8 = 2;
 
-/// Runs the command that the command line names.
+/// Parses the command line of the process and runs its command.
 pub fn main() -> ExitCode {
     match parse(lexopt::Parser::from_env()) {
         Ok(command) => run(command),
--- a/app/src/options/parse.rs
+++ b/app/src/options/parse.rs
@@ -1,4 +1,4 @@
-//! Parses the command line.
+//! Parser of the command line.
 
 use std::ffi::OsString;
 use std::net::SocketAddr;
@@ -12,7 +12,7 @@
 use crate::explain::ExplainOptions;
 use crate::operator;
 
-/// What the command line asks for.
+/// Parsed command line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Command {
     /// Show a help text.
@@ -21,15 +21,15 @@
     Version,
     /// Check a settings file.
     Check(PathBuf),
-    /// Run the roles of a settings file.
+    /// Run the roles configured in a settings file.
     Run(PathBuf),
     /// Run the role of a settings file in a deployment whose upstreams announce themselves.
     Serve(PathBuf),
-    /// Run a whole small deployment.
+    /// Run a small but complete deployment in this process.
     Local(LocalOptions),
-    /// Tell the story of one request from log lines.
+    /// Explain the outcome of one request from log lines.
     Explain(ExplainOptions),
-    /// Carry out a command of an operator.
+    /// Run the operator subcommand of this name with the remaining arguments.
     Operate(String, Vec<OsString>),
 }
 
@@ -40,9 +40,9 @@
     pub caller: SocketAddr,
     /// Listener for operators.
     pub operator: SocketAddr,
-    /// Data folder; a temporary one if none.
+    /// Data folder of the control replica; a temporary folder if `None`.
     pub data: Option<PathBuf>,
-    /// Log levels.
+    /// Log levels, as in `info, actix_server=warn`.
     pub log: String,
 }
 
@@ -57,10 +57,10 @@
     }
 }
 
-/// Why a command line makes no sense.
+/// Reason why a command line is rejected.
 #[derive(Debug, Display, From)]
 pub enum UsageError {
-    /// An option is unknown or its value is wrong.
+    /// An option is unknown or its value is invalid.
     #[display("{_0}")]
     Option(lexopt::Error),
     /// No command is given.
@@ -70,10 +70,10 @@
     #[display("unknown command {_0:?}")]
     #[from(ignore)]
     UnknownCommand(String),
-    /// The command needs a request id.
+    /// The request id is missing.
     #[display("expected a request id")]
     NoRequest,
-    /// The command needs a file.
+    /// The path of the settings file is missing.
     #[display("expected the path of a settings file")]
     NoFile,
 }
@@ -84,7 +84,7 @@
 ///
 /// # Errors
 ///
-/// Fails at the first word that makes no sense.
+/// Fails at the first unexpected argument, invalid value or missing argument.
 pub fn parse(mut parser: Parser) -> Result<Command, UsageError> {
     match parser.next()? {
         None => Err(UsageError::NoCommand),
--- a/app/tests/it/operator.rs
+++ b/app/tests/it/operator.rs
@@ -1,4 +1,4 @@
-//! Command line of operators: help, usage errors and exit codes.
+//! Operator subcommands: help, usage errors and exit codes.
 
 use std::net::TcpListener;
 use std::process::Command;
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn wrong_usage_is_told() {
+fn usage_errors_are_reported() {
     let lines = [
         "profile apply",
         "profile apply /nowhere.yaml",
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn unreachable_replica_is_no_answer() {
+fn unreachable_replica_exits_with_no_answer() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     drop(listener);
--- a/app/tests/it/options.rs
+++ b/app/tests/it/options.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Parsing of the command line.
 
 use lexopt::Parser;
 use pimentotide::options::{Command, parse};
