--- a/app/src/lines/mod.rs
+++ b/app/src/lines/mod.rs
@@ -1,8 +1,8 @@
-//! Vocabulary of the log: every kind of line and its fields.
+//! Structured log lines: every kind of line and its fields.
 //!
-//! Lines on one request carry its id in `request`, so that the lines of all
-//! processes about it can be put together. [`vocabulary`] lists all kinds; a
-//! test holds the operators' pages to it.
+//! Lines about one request carry its id in `request`, so that the lines of all
+//! processes can be correlated. [`line_kinds`] lists every kind; a test checks
+//! the operator documentation against it.
 
 mod process;
 mod request;
@@ -17,17 +17,17 @@
 };
 pub use request::{Answered, BrokenOff, Considered, Interrupted, Placed, Refused, Routed};
 
-/// One kind of line.
+/// LineKind of log line.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Kind {
-    /// Name of the event.
+pub struct LineKind {
+    /// Value of the field `event`.
     pub event: &'static str,
-    /// Names of its fields, in alphabetical order.
+    /// Names of the other fields, in alphabetical order.
     pub fields: Vec<String>,
 }
 
-/// Lists all kinds of lines.
-pub fn vocabulary() -> Vec<Kind> {
+/// Lists every kind of line that the process writes.
+pub fn line_kinds() -> Vec<LineKind> {
     vec![
         kind::<Ready>(),
         kind::<Stopping>(),
@@ -55,14 +55,14 @@
         kind::<EngineOrdered>(),
         kind::<GroupReleased>(),
         kind::<Dropped>(),
-        Kind {
+        LineKind {
             event: "message",
             fields: vec!["message".to_owned(), "target".to_owned()],
         },
     ]
 }
 
-fn kind<T>() -> Kind
+fn kind<T>() -> LineKind
 where
     T: Line + Default,
 {
@@ -71,7 +71,7 @@
         Ok(_) | Err(_) => Vec::new(),
     };
     fields.sort_unstable();
-    Kind {
+    LineKind {
         event: T::EVENT,
         fields,
     }
--- a/app/src/lines/process.rs
+++ b/app/src/lines/process.rs
@@ -1,4 +1,4 @@
-//! Lines on what a process does and believes.
+//! Log lines about the state of a process and of the deployment as it sees it.
 
 use std::collections::BTreeMap;
 
@@ -6,55 +6,55 @@
 use pimentotide_observe::Line;
 use serde::Serialize;
 
-/// The process serves.
+/// The process accepts requests.
 #[derive(Default, Serialize)]
 pub struct Ready {
     /// Name of the instance.
     pub instance: String,
     /// Availability zone.
     pub zone: String,
-    /// Roles.
+    /// Names of the roles that run in the process.
     pub roles: Vec<String>,
-    /// Addresses by what they serve.
+    /// Listener addresses by listener name.
     pub addresses: BTreeMap<String, String>,
 }
 
-/// A planned stop begins.
+/// A graceful stop begins.
 #[derive(Default, Serialize)]
 pub struct Stopping {}
 
-/// A planned stop has ended.
+/// A graceful stop is complete.
 #[derive(Default, Serialize)]
 pub struct Stopped {}
 
-/// Settings were read again.
+/// The settings were reloaded.
 #[derive(Default, Serialize)]
 pub struct Reloaded {
-    /// Whether they are valid.
+    /// Whether the new settings are valid.
     pub valid: bool,
-    /// Seeds, or what is wrong.
+    /// Seeds in use, or the problems of the new settings.
     pub detail: String,
 }
 
-/// An entry follows a replica.
+/// An entry receives updates from a replica.
 #[derive(Default, Serialize)]
 pub struct ReplicaFollowed {
     /// Address of the replica.
     pub replica: String,
 }
 
-/// An entry or agent goes on to another replica.
+/// An entry or agent switches away from a replica.
 #[derive(Default, Serialize)]
 pub struct ReplicaLost {
     /// Address of the replica.
     pub replica: String,
-    /// Whether it had answered before.
+    /// Whether the replica had answered before.
     pub followed: bool,
-    /// What happened.
+    /// Error that caused the switch.
     pub detail: String,
 }
 
-/// An entry may act on what it knows.
+/// An entry obtains a lease on its view and may route by it.
 #[derive(Default, Serialize)]
 pub struct LeaseWon {
     /// Version of the configuration.
@@ -63,104 +63,104 @@
     pub revision: u64,
 }
 
-/// An entry may no longer act on what it knows.
+/// The lease of an entry on its view expires.
 #[derive(Default, Serialize)]
 pub struct LeaseLost {
     /// Time since the last confirmation, ms.
     pub age_ms: u128,
 }
 
-/// An entry has taken over a configuration.
+/// An entry applies a configuration.
 #[derive(Default, Serialize)]
 pub struct Declared {
-    /// Version.
+    /// Version of the configuration.
     pub version: u64,
-    /// Version before; none if it is the first.
+    /// Previous version; `None` for the first configuration.
     pub before: Option<u64>,
-    /// Routes.
+    /// Number of routes.
     pub routes: usize,
 }
 
-/// An upstream is in another state, as an entry sees it.
+/// The state of an upstream changes in the view of an entry.
 #[derive(Default, Serialize)]
 pub struct UpstreamChanged {
     /// Upstream.
     pub upstream: String,
     /// Availability zone.
     pub zone: String,
-    /// What changed.
+    /// New state or changed property.
     pub change: String,
-    /// Revision that says so.
+    /// Revision of zones and upstreams with the change.
     pub revision: u64,
 }
 
-/// Other availability zones are out of service, as an entry sees it.
+/// The set of closed availability zones changes in the view of an entry.
 #[derive(Default, Serialize)]
 pub struct ZonesClosed {
-    /// Zones out of service.
+    /// All zones that are closed.
     pub zones: Vec<String>,
-    /// Revision that says so.
+    /// Revision of zones and upstreams with the change.
     pub revision: u64,
 }
 
-/// An entry sends an upstream nothing for a while, after failures.
+/// An entry ejects an upstream for a while after failures.
 #[derive(Default, Serialize)]
 pub struct Ejected {
     /// Upstream.
     pub upstream: String,
 }
 
-/// A command was replicated, or was not.
+/// A replica has answered a command, whether or not it was replicated.
 #[derive(Default, Serialize)]
 pub struct Ordered<'a> {
     /// Kind of command.
     pub order: &'a str,
-    /// What it is about.
+    /// Object of the command.
     pub subject: String,
-    /// What became of it.
+    /// Outcome: `done`, or the error.
     pub reply: String,
-    /// Time that it took, ms.
+    /// Duration, ms.
     pub waited_ms: u128,
 }
 
-/// A replica has another role, or knows another leader.
+/// The role or the leader of a replica changes.
 #[derive(Default, Serialize)]
 pub struct RoleChanged {
-    /// Role.
+    /// New role.
     pub role: String,
     /// Term.
     pub term: u64,
-    /// Leader, if one is known.
+    /// Leader; `None` while it is unknown.
     pub leader: Option<String>,
-    /// Last committed position known.
+    /// Commit index.
     pub commit: u64,
 }
 
-/// The leader adds or removes a member of the log.
+/// The leader adds or removes a member of the replicated log.
 #[derive(Default, Serialize)]
 pub struct MemberChanged {
     /// Member.
     pub member: String,
-    /// What is done.
+    /// Kind of change.
     pub change: &'static str,
-    /// Why.
+    /// Reason for the change.
     pub reason: &'static str,
 }
 
-/// A process tells a replica something new of itself.
+/// A replica receives a changed announcement of a process.
 #[derive(Default, Serialize)]
 pub struct ProcessSeen {
     /// Address of the process.
     pub process: String,
     /// Role.
     pub role: &'static str,
-    /// Whether callers may be sent there.
+    /// Whether the process accepts callers.
     pub accepting: bool,
-    /// Whether it stops.
+    /// Whether the process is stopping.
     pub stopping: bool,
 }
 
-/// A switch of expert maps has ended.
+/// A switch of expert maps is complete or has failed.
 #[derive(Default, Serialize)]
 pub struct ExpertsMoved {
     /// Group.
@@ -169,37 +169,37 @@
     pub epoch: u64,
     /// Version of the map.
     pub version: u64,
-    /// Most loaded rank over the mean before.
+    /// Load of the most loaded rank relative to the mean, before the switch.
     pub before: f64,
-    /// Most loaded rank over the mean as planned.
+    /// Load of the most loaded rank relative to the mean, as planned.
     pub after: f64,
-    /// Experts copied.
+    /// Number of experts copied.
     pub copies: usize,
-    /// How it ended.
+    /// Outcome of the switch.
     pub ending: String,
-    /// Time that it took, ms.
+    /// Duration, ms.
     pub took_ms: u128,
 }
 
-/// The engine beside an agent has been given an order.
+/// An agent has sent an order to its engine.
 #[derive(Default, Serialize)]
 pub struct EngineOrdered {
-    /// Order.
+    /// Order that was sent.
     pub order: String,
-    /// Fencing number.
+    /// Fencing token.
     pub fence: u64,
-    /// Answer of the engine, or what went wrong.
+    /// Answer of the engine, or the error.
     pub answer: String,
 }
 
-/// A pass of a group that was left held back is let go.
+/// An agent releases a pass of its group that was left held.
 #[derive(Default, Serialize)]
 pub struct GroupReleased {
-    /// Pass.
+    /// Number of the pass.
     pub step: u64,
-    /// How that ended.
+    /// Outcome of the release.
     pub ending: String,
-    /// Why it was held back.
+    /// Reason why the pass is released.
     pub reason: &'static str,
 }
 
--- a/app/src/lines/request.rs
+++ b/app/src/lines/request.rs
@@ -1,4 +1,4 @@
-//! Lines on one request.
+//! Log lines about one request.
 
 use pimentotide_model::Revision;
 use pimentotide_observe::Line;
@@ -19,34 +19,34 @@
     pub priority: u8,
     /// Number of the attempt.
     pub attempt: u32,
-    /// Upstreams that were considered.
+    /// Candidate upstreams with their scores.
     pub considered: Vec<Considered<'a>>,
-    /// Upstream chosen; none if the request goes nowhere.
+    /// Chosen upstream; `None` if the request is not sent.
     pub choice: Option<&'a str>,
-    /// Why.
+    /// Reason for the choice.
     pub reason: String,
     /// Time in the queue, ms.
     pub waited_ms: u128,
-    /// Revision of the declarations that decided.
+    /// Revision of the declarations used for the decision.
     pub revision: Revision,
 }
 
-/// Upstream that was considered.
+/// Candidate upstream of a routing decision.
 #[derive(Default, Serialize)]
 pub struct Considered<'a> {
     /// Upstream.
     pub upstream: &'a str,
     /// Expected time to the first token, µs.
     pub score_us: u64,
-    /// Requests thought to be there.
+    /// Estimated number of in-flight requests.
     pub load: u64,
-    /// Requests that it may be given.
+    /// Maximum number of in-flight requests.
     pub allowance: u32,
-    /// Blocks of the prompt that it holds.
+    /// Blocks of the prompt in its cache, as tracked by the entry.
     pub cached_blocks: u32,
 }
 
-/// A request sent to an upstream.
+/// A request is sent to an upstream.
 #[derive(Default, Serialize)]
 pub struct Placed<'a> {
     /// Request.
@@ -55,91 +55,91 @@
     pub route: &'a str,
     /// Upstream.
     pub upstream: &'a str,
-    /// Number of the send.
+    /// Number of the send, from 1.
     pub send: u32,
-    /// Requests thought to be at the upstream.
+    /// Estimated number of in-flight requests at the upstream.
     pub outstanding: f64,
-    /// Upstreams among which it was chosen.
+    /// Number of candidate upstreams.
     pub candidates: usize,
-    /// Version of the configuration that routed it.
+    /// Version of the configuration used for routing.
     pub version: u64,
-    /// Time since that was last confirmed, ms.
+    /// Time since the configuration was last confirmed, ms.
     pub age_ms: u128,
-    /// Time left until the caller or the route gives up, ms.
+    /// Time left until the deadline of the caller or the route, ms.
     pub left_ms: u128,
 }
 
-/// A send that ended without a complete answer.
+/// A send ended without a complete answer.
 #[derive(Default, Serialize)]
 pub struct Interrupted<'a> {
     /// Request.
     pub request: &'a str,
     /// Upstream.
     pub upstream: &'a str,
-    /// How it ended.
+    /// Kind of failure.
     pub ended: String,
-    /// Events passed on so far.
+    /// Events forwarded to the caller so far.
     pub events: u64,
-    /// What follows.
+    /// Next step: another send, or an answer to the caller.
     pub next: String,
-    /// Why not another send, if none follows.
+    /// Limit that prevents another send; empty if none does.
     pub reason: &'a str,
-    /// Time since the request came, ms.
+    /// Time since the request arrived, ms.
     pub after_ms: u128,
 }
 
-/// A stream that is broken off for good.
+/// A stream to the caller is aborted.
 #[derive(Default, Serialize)]
 pub struct BrokenOff<'a> {
     /// Request.
     pub request: &'a str,
-    /// Events passed on.
+    /// Events forwarded to the caller.
     pub events: u64,
     /// Error kind.
     pub kind: String,
-    /// What happened.
+    /// Description of the error.
     pub detail: &'a str,
-    /// Time since the request came, ms.
+    /// Time since the request arrived, ms.
     pub after_ms: u128,
 }
 
-/// A request that is answered.
+/// A request is answered by an upstream.
 #[derive(Default, Serialize)]
 pub struct Answered<'a> {
     /// Request.
     pub request: &'a str,
     /// Upstream that answered.
     pub upstream: &'a str,
-    /// Status passed on.
+    /// HTTP status forwarded to the caller.
     pub status: u16,
-    /// Sends that it took.
+    /// Number of sends.
     pub sends: u32,
-    /// Events passed on.
+    /// Events forwarded to the caller.
     pub events: u64,
-    /// Time since the request came, ms.
+    /// Time since the request arrived, ms.
     pub after_ms: u128,
 }
 
-/// A request that is refused or given up.
+/// A request is refused or fails.
 #[derive(Default, Serialize)]
 pub struct Refused<'a> {
     /// Request.
     pub request: &'a str,
-    /// Path.
+    /// Request path.
     pub path: &'a str,
     /// Error kind.
     pub kind: String,
-    /// Whether it has run.
+    /// Whether the request has run.
     pub ran: String,
-    /// What happened.
+    /// Description of the error.
     pub detail: &'a str,
-    /// When the caller is told to come back, ms.
+    /// Delay after which the caller may retry, ms.
     pub retry_ms: Option<u128>,
-    /// Version of the configuration that decided; none if there was none.
+    /// Version of the configuration used for the decision; `None` before the first one.
     pub version: Option<u64>,
-    /// Time since that was last confirmed, ms.
+    /// Time since the configuration was last confirmed, ms.
     pub age_ms: u128,
-    /// Time since the request came, ms.
+    /// Time since the request arrived, ms.
     pub after_ms: u128,
 }
 
--- a/app/tests/it/lines.rs
+++ b/app/tests/it/lines.rs
@@ -1,12 +1,12 @@
-//! The vocabulary of the log and the operators' page.
+//! Agreement of the kinds of log lines with the operator documentation.
 
 use std::collections::BTreeMap;
 
-use pimentotide::lines::vocabulary;
+use pimentotide::lines::line_kinds;
 
 const PAGE: &str = include_str!("../../../docs/OPERATIONS.md");
 
-/// Events of the page's table with the names in the column of their fields.
+/// Returns the events in the table of the page with the names in their column of fields.
 fn documented() -> BTreeMap<String, Vec<String>> {
     let section = PAGE
         .split("## Log lines")
@@ -26,14 +26,14 @@
     .collect()
 }
 
-/// Words in backquotes.
+/// Returns the words in backquotes.
 fn quoted(text: &str) -> impl Iterator<Item = String> {
     text.split('`').skip(1).step_by(2).map(str::to_owned)
 }
 
 #[test]
-fn the_page_lists_every_event_with_its_fields() {
-    let written: BTreeMap<String, Vec<String>> = vocabulary()
+fn page_lists_every_event_with_its_fields() {
+    let written: BTreeMap<String, Vec<String>> = line_kinds()
         .into_iter()
         .map(|kind| (kind.event.to_owned(), kind.fields))
         .collect();
@@ -41,8 +41,8 @@
 }
 
 #[test]
-fn no_event_stands_twice() {
-    let mut names: Vec<&str> = vocabulary().iter().map(|kind| kind.event).collect();
+fn event_names_are_unique() {
+    let mut names: Vec<&str> = line_kinds().iter().map(|kind| kind.event).collect();
     let all = names.len();
     names.sort_unstable();
     names.dedup();
