--- a/app/src/control/cluster.rs
+++ b/app/src/control/cluster.rs
@@ -1,4 +1,4 @@
-//! Members of the log as operators see and change them.
+//! Membership of the replicated log, as shown to operators and changed by them.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,38 +8,41 @@
 use pimentotide_model::{ErrorKind, Failure, InstanceName};
 use pimentotide_operator::{Cluster, Control as _, Member, MemberChange, MemberRole};
 
-use super::source::Desk;
+use super::source::OperatorBackend;
 
-/// Time between two looks at the members.
-const REFRESH: Duration = Duration::from_millis(250);
+/// Interval at which the members shown to operators are refreshed.
+const REFRESH_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Keeps what operators are told about the members up to date.
-pub(super) async fn follow(desk: Desk) {
-    while let Ok(status) = desk.replica().status().await {
-        desk.set_cluster(describe(&status));
-        tokio::time::sleep(REFRESH).await;
+/// Refreshes the members shown to operators until the replica stops.
+pub(super) async fn refresh(backend: OperatorBackend) {
+    while let Ok(status) = backend.replica().status().await {
+        backend.set_cluster(describe(&status));
+        tokio::time::sleep(REFRESH_INTERVAL).await;
     }
 }
 
-/// Changes the members by one; a change that is in force already succeeds.
-pub(super) async fn change(desk: &Desk, change: MemberChange) -> Result<Cluster, Failure> {
-    let status = desk.replica().status().await?;
+/// Adds or removes one member; succeeds if the change is already in effect.
+pub(super) async fn change(
+    backend: &OperatorBackend,
+    change: MemberChange,
+) -> Result<Cluster, Failure> {
+    let status = backend.replica().status().await?;
     let config = &status.log.config;
     match change {
         MemberChange::Add { name, address } => {
             let address = parse(&address)?;
             if config.member(&name).is_none_or(|m| m.address != address) {
-                desk.replica().add(name, address).await?;
+                backend.replica().add(name, address).await?;
             }
         }
         MemberChange::Remove { name } => {
             if config.member(&name).is_some() {
-                desk.replica().remove(name).await?;
+                backend.replica().remove(name).await?;
             }
         }
     }
-    desk.set_cluster(describe(&desk.replica().status().await?));
-    Ok(desk.cluster())
+    backend.set_cluster(describe(&backend.replica().status().await?));
+    Ok(backend.cluster())
 }
 
 fn parse(address: &str) -> Result<SocketAddr, Failure> {
--- a/app/src/control/mod.rs
+++ b/app/src/control/mod.rs
@@ -1,8 +1,7 @@
-//! Role of the control replica: the replicated log with what reads and writes it.
+//! Control replica role: the replicated log and the servers that read and write it.
 //!
-//! One replica serves three sides: other replicas and the deployment's entries
-//! and agents on one port, and operators on another. All of them see the state
-//! that the log has built through [`Source`].
+//! A replica serves other replicas, entries and agents on one port and operators
+//! on another. All of them access the state machine through [`Source`].
 
 mod cluster;
 mod source;
@@ -20,29 +19,29 @@
 
 pub use source::Source;
 
-use self::source::Desk;
+use self::source::OperatorBackend;
 use crate::settings::{Peer, ReplicaSettings};
 
-/// What a control replica needs to run.
+/// Options of a control replica.
 pub struct ControlOptions {
     /// Name of this instance.
     pub instance: InstanceName,
     /// Settings of the role.
     pub settings: ReplicaSettings,
-    /// Replicas that found the log together.
+    /// Initial members of the replicated log.
     pub founders: Vec<Peer>,
-    /// Secret of the deployment.
+    /// Secret shared by the instances of the deployment.
     pub token: Token,
 }
 
-/// Why a control replica could not start.
+/// Reason why a control replica fails to start.
 #[derive(Debug, Display, From)]
 pub enum ControlError {
-    /// The replica, its disk or its port failed.
+    /// The replica, its storage or its port fails.
     #[display("control replica: {_0}")]
     Replica(Failure),
-    /// The operators' port cannot be bound.
-    #[display("listener for operators on {_0}: {_1}")]
+    /// The operator port cannot be bound.
+    #[display("cannot bind the operator listener on {_0}: {_1}")]
     Operator(SocketAddr, std::io::Error),
 }
 
@@ -62,7 +61,7 @@
     ///
     /// # Errors
     ///
-    /// Fails if the data folder cannot be used or an address cannot be bound.
+    /// Fails if the data folder is unusable or an address cannot be bound.
     pub async fn spawn(options: ControlOptions) -> Result<Self, ControlError> {
         let settings = options.settings;
         let shared = SharedMachine::default();
@@ -84,9 +83,9 @@
                 .into(),
         ];
         let peers = PeerServer::bind(settings.listen, options.token, modules).await?;
-        let desk = Desk::new(source.clone(), directory, &options.instance);
-        let cluster = actix_rt::spawn(cluster::follow(desk.clone()));
-        let operators = Server::bind(settings.operator, desk)
+        let backend = OperatorBackend::new(source.clone(), directory, &options.instance);
+        let cluster = actix_rt::spawn(cluster::refresh(backend.clone()));
+        let operators = Server::bind(settings.operator, backend)
             .map_err(|e| ControlError::Operator(settings.operator, e))?;
         Ok(Self {
             replica,
@@ -97,22 +96,22 @@
         })
     }
 
-    /// Address that serves the other instances.
+    /// Bound address of the listener for other instances.
     pub fn address(&self) -> SocketAddr {
         self.peers.address()
     }
 
-    /// Address that serves operators.
+    /// Bound address of the operator listener.
     pub fn operator_address(&self) -> SocketAddr {
         self.operators.address()
     }
 
-    /// State that the log has built.
+    /// Returns the replicated log and its state machine.
     pub fn source(&self) -> &Source {
         &self.source
     }
 
-    /// Hands leadership over and stops.
+    /// Transfers leadership and stops.
     pub async fn stop(self) {
         self.operators.stop().await;
         self.replica.stop().await;
@@ -137,7 +136,8 @@
     Replica::spawn(options.with_founders(founders), machine.clone()).await
 }
 
-/// Number of this start of the replica: the wall clock rises from start to start.
+/// Returns the epoch of this start of the replica: the wall clock in µs, which increases from start
+/// to start.
 fn epoch() -> u64 {
     let now = SystemTime::now().duration_since(UNIX_EPOCH);
     now.map_or(0, |d| u64::try_from(d.as_micros()).unwrap_or(u64::MAX))
--- a/app/src/control/source.rs
+++ b/app/src/control/source.rs
@@ -1,4 +1,4 @@
-//! The state that the log has built, for whoever reads or writes it.
+//! Access to the replicated log and its state machine for the servers of the control replica.
 
 use pimentotide_control::directory::Registry;
 use pimentotide_control::machine::{MAX_COMMAND_BYTES, decode, encode};
@@ -10,7 +10,7 @@
 use pimentotide_operator::{Cluster, Control as OperatorControl, MemberChange};
 use tokio::sync::watch;
 
-/// The log and the state that it has built; clones share both.
+/// Replicated log and its state machine; clones share both.
 #[derive(Clone)]
 pub struct Source {
     shared: SharedMachine,
@@ -61,15 +61,15 @@
     }
 }
 
-/// What the operators' server works on.
+/// State behind the operator server.
 #[derive(Clone)]
-pub(super) struct Desk {
+pub(super) struct OperatorBackend {
     source: Source,
     directory: Directory<Source>,
     cluster: watch::Sender<Cluster>,
 }
 
-impl Desk {
+impl OperatorBackend {
     pub(super) fn new(source: Source, directory: Directory<Source>, name: &InstanceName) -> Self {
         let local = name.to_string();
         let cluster = watch::Sender::new(Cluster {
@@ -92,7 +92,7 @@
     }
 }
 
-impl OperatorControl for Desk {
+impl OperatorControl for OperatorBackend {
     async fn propose(&self, command: Command) -> Result<Response, Failure> {
         self.source.submit(command).await
     }
