--- a/app/src/local/deployment.rs
+++ b/app/src/local/deployment.rs
@@ -1,4 +1,4 @@
-//! Starts and stops the parts of a local deployment.
+//! Start and stop of the parts of a local deployment.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -39,8 +39,8 @@
 const MODELS_PER_ZONE: usize = 2;
 const UPSTREAMS: usize = ZONES.len() * (MODELS_PER_ZONE + 1);
 const ENTRY_THREADS: usize = 2;
-const DRAIN: Duration = Duration::from_secs(30);
-const LEADER_POLL: Duration = Duration::from_millis(20);
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(30);
+const LEADER_POLL_INTERVAL: Duration = Duration::from_millis(20);
 const READY_TIMEOUT: Duration = Duration::from_secs(15);
 
 /// A running local deployment.
@@ -54,15 +54,15 @@
 /// Addresses of a local deployment.
 #[derive(Clone, Debug, Serialize)]
 pub struct Addresses {
-    /// Entries, the first as asked for.
+    /// Entries; the first is at the requested address.
     pub entries: Vec<SocketAddr>,
-    /// Listener for operators.
+    /// Listener for operators; `None` if no entry hosts control.
     pub operator: Option<SocketAddr>,
-    /// Stand-in upstreams.
+    /// Stand-in upstreams, in the order of the zones.
     pub upstreams: Vec<SocketAddr>,
 }
 
-/// What all parts of a local deployment share.
+/// Configuration shared by all parts of a local deployment.
 struct Plan {
     token: Token,
     control: Vec<Peer>,
@@ -72,12 +72,12 @@
 }
 
 impl Deployment {
-    /// Starts a deployment and waits until it can serve requests.
+    /// Starts a deployment and waits until every entry can route to every upstream.
     ///
     /// # Errors
     ///
-    /// Fails if an address is taken, the data folder cannot be used or a part
-    /// does not come up.
+    /// Fails if an address cannot be bound, the data folder is unusable or a part
+    /// is not ready in time.
     pub async fn spawn(options: &LocalOptions) -> Result<Self, LocalError> {
         let folder = match &options.data {
             Some(_) => None,
@@ -106,7 +106,7 @@
         Ok(deployment)
     }
 
-    /// Addresses that the parts serve on.
+    /// Bound addresses of the parts.
     pub fn addresses(&self) -> Addresses {
         let entries = self
             .entries
@@ -123,14 +123,14 @@
         }
     }
 
-    /// Stand-in upstreams.
+    /// Stand-in upstreams, in the order of the zones.
     pub fn engines(&self) -> &[Engine] {
         &self.engines
     }
 
-    /// Lets running requests end and stops all parts, callers' side first.
+    /// Drains running requests and stops all parts, from the entries to the engines.
     pub async fn stop(self) {
-        // The first entry hosts control, which the others need until they have stopped.
+        // The first entry hosts control, which the other parts need until they have stopped.
         let mut entries = self.entries.into_iter();
         let first = entries.next();
         let others: FuturesUnordered<_> = entries.map(Roles::stop).collect();
@@ -170,7 +170,7 @@
         Ok(())
     }
 
-    /// Waits until every process has a lease and every entry knows every upstream.
+    /// Waits until every process has a lease and the view of every entry has every upstream.
     async fn wait_until_ready(&self) -> Result<(), LocalError> {
         let waiting = async {
             for roles in self.entries.iter().chain(&self.agents) {
@@ -235,7 +235,7 @@
             body: DEFAULT_BODY_BYTES,
             workspace: Some(WorkspaceName::from(WORKSPACE)),
             keep: DEFAULT_KEEP,
-            drain: DRAIN,
+            drain: DRAIN_TIMEOUT,
         };
         Settings {
             entry: Some(entry),
@@ -250,7 +250,7 @@
             upstream: UpstreamName::from(upstream),
             listen: any_port(),
             engine: any_port(),
-            drain: DRAIN,
+            drain: DRAIN_TIMEOUT,
         };
         let instance = InstanceName::from(format!("{upstream}-agent"));
         Settings {
@@ -276,7 +276,7 @@
     }
 }
 
-/// Brings the built-in declarations into force, unless the log has others.
+/// Applies the built-in declarations unless the log already contains declarations.
 async fn declare(control: &Control) -> Result<(), LocalError> {
     let source = control.source();
     wait_for_leader(source).await?;
@@ -303,14 +303,14 @@
     }
 }
 
-/// Waits until the only replica leads.
+/// Waits until the only replica is the leader.
 async fn wait_for_leader(source: &Source) -> Result<(), LocalError> {
     let end = Instant::now() + READY_TIMEOUT;
     loop {
         match source.confirm().await {
             Ok(()) => return Ok(()),
             Err(e) if Instant::now() >= end => return Err(LocalError::Declare(e)),
-            Err(_) => tokio::time::sleep(LEADER_POLL).await,
+            Err(_) => tokio::time::sleep(LEADER_POLL_INTERVAL).await,
         }
     }
 }
@@ -327,9 +327,10 @@
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
-/// Finds a free port, so that processes can name each other before they start.
+/// Finds a free port, so that the addresses of processes are known before they start.
 ///
-/// It lies below the ports that connections take by themselves, so that none takes it meanwhile.
+/// The port is below the ephemeral range, so that no outgoing connection occupies it before it is
+/// bound.
 pub fn reserve_port() -> SocketAddr {
     const FIRST: u16 = 20_000;
     const COUNT: u16 = 10_000;
--- a/app/src/local/mod.rs
+++ b/app/src/local/mod.rs
@@ -1,8 +1,8 @@
-//! A whole small deployment in one process.
+//! Small but complete deployment in one process.
 //!
 //! Three availability zones, each with an entry, two stand-in model engines and
-//! a stand-in plain service behind an agent each. All talk over loopback
-//! sockets, as separate processes would.
+//! one stand-in plain service, each behind its own agent. The parts communicate
+//! over loopback sockets, as separate processes do.
 
 mod deployment;
 
@@ -20,33 +20,33 @@
 
 pub use deployment::{Deployment, reserve_port};
 
-/// Why a local deployment could not start.
+/// Reason why a local deployment fails to start.
 #[derive(Debug, Display, From)]
 pub enum LocalError {
-    /// Logging could not start.
+    /// The logger fails to start.
     Logs(LogError),
-    /// A stand-in could not start.
+    /// A stand-in engine fails to start.
     Engine(EngineError),
-    /// An entry, an agent or the control replica could not start.
+    /// An entry, an agent or the control replica fails to start.
     Roles(RolesError),
-    /// No folder for the data of the control replica.
-    #[display("no temporary folder: {_0}")]
+    /// The temporary data folder of the control replica cannot be created.
+    #[display("cannot create a temporary data folder: {_0}")]
     Folder(std::io::Error),
-    /// The built-in declarations could not be brought into force.
-    #[display("the declarations are not in force: {_0}")]
+    /// The control replica fails to apply the built-in declarations.
+    #[display("cannot apply the built-in declarations: {_0}")]
     Declare(Failure),
-    /// The built-in declarations are wrong.
-    #[display("the declarations are wrong: {_0}")]
+    /// The built-in declarations are invalid.
+    #[display("the built-in declarations are invalid: {_0}")]
     #[from(ignore)]
     Document(String),
-    /// The upstreams did not announce themselves in time.
+    /// A process has no lease, or an entry lacks an upstream, when the time limit expires.
     #[display("the upstreams did not announce themselves in time")]
     NotReady,
 }
 
 impl std::error::Error for LocalError {}
 
-/// Runs a local deployment until it is told to stop.
+/// Runs a local deployment until the process receives a stop signal.
 pub fn run(options: &LocalOptions) -> ExitCode {
     match actix_rt::System::new().block_on(run_until_stopped(options)) {
         Ok(()) => ExitCode::SUCCESS,
--- a/app/src/run/mod.rs
+++ b/app/src/run/mod.rs
@@ -1,4 +1,4 @@
-//! Runs the roles that a settings file gives.
+//! Commands `run` and `check` of a settings file.
 
 mod roles;
 
@@ -10,26 +10,26 @@
 
 pub use roles::{Roles, RolesError};
 
-/// Checks a settings file and says all that is wrong with it.
+/// Checks a settings file and prints every problem.
 pub fn check(path: &Path) -> ExitCode {
     match Settings::open(path) {
         Ok(_) => {
             println!("{}: ok", path.display());
             ExitCode::SUCCESS
         }
-        Err(e) => refuse(path, &e),
+        Err(e) => reject(path, &e),
     }
 }
 
-/// Runs the roles of a settings file until the process is told to stop.
+/// Runs the roles of a settings file until the process receives a stop signal.
 pub fn run(path: &Path) -> ExitCode {
     match Settings::open(path) {
         Ok(settings) => roles::run(settings),
-        Err(e) => refuse(path, &e),
+        Err(e) => reject(path, &e),
     }
 }
 
-fn refuse(path: &Path, error: &crate::settings::SettingsError) -> ExitCode {
+fn reject(path: &Path, error: &crate::settings::SettingsError) -> ExitCode {
     eprintln!("{}:\n{error}", path.display());
     ExitCode::from(EXIT_USAGE)
 }
--- a/app/src/run/roles.rs
+++ b/app/src/run/roles.rs
@@ -1,4 +1,4 @@
-//! Starts the roles of one process and stops them gracefully.
+//! Start and graceful stop of the roles of one process.
 
 use std::process::ExitCode;
 use std::sync::Arc;
@@ -23,24 +23,24 @@
 use crate::settings::{AgentSettings, EntrySettings, ReplicaSettings, Settings};
 use crate::signal;
 
-/// Why a process could not start its roles.
+/// Reason why the roles of a process fail to start.
 #[derive(Debug, Display, From)]
 pub enum RolesError {
-    /// Logging could not start.
+    /// The logger fails to start.
     Logs(LogError),
-    /// Metrics could not start.
+    /// The metrics exporter fails to start.
     Metrics(MetricsError),
-    /// The control replica could not start.
+    /// The control replica fails to start.
     Control(ControlError),
-    /// The entry could not start.
+    /// The entry fails to start.
     Entry(CallerError),
-    /// The agent could not start.
+    /// The agent fails to start.
     Agent(AgentError),
 }
 
 impl std::error::Error for RolesError {}
 
-/// Running roles of one process, in the order in which they are stopped.
+/// Running roles of one process, in the order in which they stop.
 pub struct Roles {
     entry: Option<EntryRole>,
     agent: Option<AgentRole>,
@@ -56,11 +56,11 @@
 struct AgentRole {
     agent: Arc<Agent>,
     follower: Arc<Follower>,
-    links: [JoinHandle<()>; 3],
+    tasks: [JoinHandle<()>; 3],
     _reporter: AgentReporter,
 }
 
-/// Runs all roles that the settings give until the process is told to stop.
+/// Runs all configured roles until the process receives a stop signal.
 pub(super) fn run(settings: Settings) -> ExitCode {
     match actix_rt::System::new().block_on(run_until_stopped(settings)) {
         Ok(()) => ExitCode::SUCCESS,
@@ -89,11 +89,11 @@
 }
 
 impl Roles {
-    /// Starts the roles that the settings give.
+    /// Starts the configured roles.
     ///
     /// # Errors
     ///
-    /// Fails if an address is taken or the data folder cannot be used.
+    /// Fails if an address cannot be bound or the data folder is unusable.
     pub async fn spawn(mut settings: Settings, metrics: &Metrics) -> Result<Self, RolesError> {
         let control = match settings.replica.take() {
             Some(role) => Some(spawn_control(&settings, role).await?),
@@ -114,35 +114,35 @@
         })
     }
 
-    /// The entry, if the process has one.
+    /// Returns the entry; `None` if the process has no such role.
     pub fn entry(&self) -> Option<&Entry> {
         self.entry.as_ref().map(|role| &role.entry)
     }
 
-    /// The agent, if the process has one.
+    /// Returns the agent; `None` if the process has no such role.
     pub fn agent(&self) -> Option<&Agent> {
         self.agent.as_ref().map(|role| role.agent.as_ref())
     }
 
-    /// The control replica, if the process has one.
+    /// Returns the control replica; `None` if the process has no such role.
     pub fn control(&self) -> Option<&Control> {
         self.control.as_ref()
     }
 
-    /// View of the entry, or of the agent where there is no entry.
+    /// Returns the view of the entry, otherwise that of the agent; `None` without both roles.
     pub fn view(&self) -> Option<watch::Receiver<pimentotide_instance::View>> {
         let entry = self.entry.as_ref().map(|role| role.follower.view());
         entry.or_else(|| self.agent.as_ref().map(|role| role.follower.view()))
     }
 
-    /// Lets running requests end and stops all roles, callers' side first.
+    /// Drains running requests and stops all roles: entry, agent, control.
     pub async fn stop(self) {
         if let Some(role) = self.entry {
             role.entry.stop().await;
         }
         if let Some(role) = self.agent {
-            for link in role.links {
-                link.abort();
+            for task in role.tasks {
+                task.abort();
             }
             role.agent.stop().await;
         }
@@ -242,37 +242,43 @@
         view: follower.view(),
     });
     let (agent, follower) = (Arc::new(agent), Arc::new(follower));
-    let links = [
-        actix_rt::spawn(hear(agent.highest_revision(), Arc::clone(&follower))),
-        actix_rt::spawn(rename(reporter.incarnation(), Arc::clone(&agent))),
-        actix_rt::spawn(step_back(reporter.incarnation_state(), Arc::clone(&agent))),
+    let tasks = [
+        actix_rt::spawn(forward_revisions(agent.heard(), Arc::clone(&follower))),
+        actix_rt::spawn(forward_incarnation(
+            reporter.incarnation(),
+            Arc::clone(&agent),
+        )),
+        actix_rt::spawn(drain_when_superseded(
+            reporter.standby(),
+            Arc::clone(&agent),
+        )),
     ];
     Ok(AgentRole {
         agent,
         follower,
-        links,
+        tasks,
         _reporter: reporter,
     })
 }
 
-/// Passes on revisions that entries have and this process may lack.
-async fn hear(mut heard: watch::Receiver<Revision>, follower: Arc<Follower>) {
-    while heard.changed().await.is_ok() {
-        let revision = *heard.borrow_and_update();
-        follower.observe_revision(revision);
+/// Forwards revisions received from entries to the follower, which may be behind them.
+async fn forward_revisions(mut revisions: watch::Receiver<Revision>, follower: Arc<Follower>) {
+    while revisions.changed().await.is_ok() {
+        let revision = *revisions.borrow_and_update();
+        follower.hear(revision);
     }
 }
 
-/// Tells the agent under which incarnation its upstream is known.
-async fn rename(mut incarnation: watch::Receiver<Incarnation>, agent: Arc<Agent>) {
+/// Forwards the incarnation assigned to the upstream to the agent.
+async fn forward_incarnation(mut incarnation: watch::Receiver<Incarnation>, agent: Arc<Agent>) {
     while incarnation.changed().await.is_ok() {
-        let known = *incarnation.borrow_and_update();
-        agent.set_alias(known);
+        let assigned = *incarnation.borrow_and_update();
+        agent.rename(assigned);
     }
 }
 
-/// Takes the agent out of service once another process has its name.
-async fn step_back(mut standby: watch::Receiver<IncarnationState>, agent: Arc<Agent>) {
+/// Drains the agent once another process supersedes it under the same name.
+async fn drain_when_superseded(mut standby: watch::Receiver<IncarnationState>, agent: Arc<Agent>) {
     if standby
         .wait_for(|s| *s == IncarnationState::Superseded)
         .await
--- a/app/src/signal.rs
+++ b/app/src/signal.rs
@@ -1,14 +1,14 @@
-//! Signals that ask a process to stop.
+//! Signals that stop the process or reload its settings.
 
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::mpsc;
 
-/// Yields once for each SIGTERM or SIGINT.
+/// Receives one item per SIGTERM or SIGINT.
 pub fn stops() -> mpsc::UnboundedReceiver<()> {
     listen(&[SignalKind::terminate(), SignalKind::interrupt()])
 }
 
-/// Yields once for each SIGHUP, which says that the settings have changed.
+/// Receives one item per SIGHUP, which requests a reload of the settings.
 pub fn reloads() -> mpsc::UnboundedReceiver<()> {
     listen(&[SignalKind::hangup()])
 }
