--- a/app/src/settings/addresses.rs
+++ b/app/src/settings/addresses.rs
@@ -1,4 +1,4 @@
-//! Checks that no address or name is given twice.
+//! Checks for duplicate addresses and names.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -7,7 +7,7 @@
 
 use super::{Peer, Settings};
 
-/// Notes listeners of this process that share an address.
+/// Reports listeners of this process that share an address.
 pub(super) fn check_listeners(top: &Section<'_>, settings: &Settings) {
     let mut listeners: Vec<(&str, SocketAddr)> = Vec::new();
     if let Some(entry) = &settings.entry {
@@ -36,7 +36,7 @@
     }
 }
 
-/// Notes instances of a list that share a name or an address.
+/// Reports instances of a list that share a name or an address.
 pub(super) fn check_peers(top: &Section<'_>, key: &str, peers: &[Peer]) {
     for (i, peer) in peers.iter().enumerate() {
         let earlier = &peers[..i];
--- a/app/src/settings/mod.rs
+++ b/app/src/settings/mod.rs
@@ -1,4 +1,4 @@
-//! Settings of one process, read from one YAML file and checked whole.
+//! Settings of one process, read from one YAML file; every problem is reported at once.
 
 mod addresses;
 mod read;
@@ -14,13 +14,13 @@
 
 pub use read::{DEFAULT_BODY_BYTES, DEFAULT_KEEP, DEFAULT_LOG};
 
-/// Why settings cannot be used.
+/// Reason why settings are rejected.
 #[derive(Debug, Display, From)]
 pub enum SettingsError {
     /// The file cannot be read.
     #[display("{}: {_1}", _0.display())]
     Unreadable(PathBuf, std::io::Error),
-    /// The file is wrong.
+    /// The contents of the file are invalid.
     #[display("{_0}")]
     Invalid(Problems),
 }
@@ -38,19 +38,19 @@
     pub zone: ZoneName,
     /// Log levels, as in `info` or `info, actix_server=warn`.
     pub log: String,
-    /// StatsD address; none drops metrics.
+    /// StatsD address; metrics are dropped if `None`.
     pub metrics: Option<SocketAddr>,
-    /// Secret of the deployment.
+    /// Secret shared by the instances of the deployment.
     pub token: Token,
     /// Control replicas of the deployment.
     pub control: Vec<Peer>,
     /// Entry instances of the deployment.
     pub entries: Vec<Peer>,
-    /// Role of an entry.
+    /// Settings of the entry role; `None` if the process does not run it.
     pub entry: Option<EntrySettings>,
-    /// Role of a control replica.
+    /// Settings of the control replica; `None` if the process does not run it.
     pub replica: Option<ReplicaSettings>,
-    /// Role of an agent.
+    /// Settings of the agent role; `None` if the process does not run it.
     pub agent: Option<AgentSettings>,
 }
 
@@ -61,33 +61,33 @@
     pub name: InstanceName,
     /// Availability zone of the instance.
     pub zone: ZoneName,
-    /// Address it serves on.
+    /// Address for other instances and callers.
     pub address: SocketAddr,
 }
 
 /// Settings of an entry.
 #[derive(Clone, Debug)]
 pub struct EntrySettings {
-    /// Address to serve callers on.
+    /// Listener for callers.
     pub listen: SocketAddr,
-    /// Threads that serve callers.
+    /// Number of threads that serve callers.
     pub threads: usize,
     /// Largest request body, in bytes.
     pub body: usize,
-    /// Workspace of requests that name none; such requests are refused if none.
+    /// Workspace of requests that name none; such requests are refused if `None`.
     pub workspace: Option<WorkspaceName>,
-    /// How long callers keep an answer of `/v1/entries`.
+    /// Time for which callers may cache an answer of `/v1/entries`.
     pub keep: Duration,
-    /// Longest time a planned stop waits for running requests.
+    /// Maximum time that a graceful stop waits for running requests.
     pub drain: Duration,
 }
 
 /// Settings of a control replica.
 #[derive(Clone, Debug)]
 pub struct ReplicaSettings {
-    /// Address to serve other instances on.
+    /// Listener for other instances.
     pub listen: SocketAddr,
-    /// Address to serve operators on.
+    /// Listener for operators.
     pub operator: SocketAddr,
     /// Data folder.
     pub data: PathBuf,
@@ -98,11 +98,11 @@
 pub struct AgentSettings {
     /// Name of the upstream.
     pub upstream: UpstreamName,
-    /// Address to serve entries on.
+    /// Listener for entries.
     pub listen: SocketAddr,
-    /// Address to which the upstream announces itself.
+    /// Listener for the announcements of the upstream.
     pub engine: SocketAddr,
-    /// Longest time a planned stop waits for running requests.
+    /// Maximum time that a graceful stop waits for running requests.
     pub drain: Duration,
 }
 
@@ -111,7 +111,7 @@
     ///
     /// # Errors
     ///
-    /// Returns all that is wrong with the file at once.
+    /// Fails if the file cannot be read or is invalid; reports every problem.
     pub fn open(path: &Path) -> Result<Self, SettingsError> {
         let text = std::fs::read_to_string(path)
             .map_err(|e| SettingsError::Unreadable(path.to_owned(), e))?;
@@ -119,11 +119,11 @@
         Ok(Self::parse(&text, folder)?)
     }
 
-    /// Checks the text of a settings file in `folder`.
+    /// Parses and checks the text of a settings file; relative paths start at `folder`.
     ///
     /// # Errors
     ///
-    /// Returns all that is wrong with the text at once.
+    /// Returns every problem of the text.
     pub fn parse(text: &str, folder: &Path) -> Result<Self, Problems> {
         pimentotide_document::read(text, |top| read::settings(top, folder))
     }
--- a/app/src/settings/read.rs
+++ b/app/src/settings/read.rs
@@ -1,4 +1,4 @@
-//! Reads settings from a document.
+//! Conversion of a YAML document to settings.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -11,13 +11,13 @@
 use super::addresses::{check_listeners, check_peers};
 use super::{AgentSettings, EntrySettings, Peer, ReplicaSettings, Settings};
 
-/// Log levels unless the settings say otherwise.
+/// Default of `log`.
 pub const DEFAULT_LOG: &str = "info, actix_server=warn";
 
-/// Largest request body unless the settings say otherwise, in bytes.
+/// Default of `body_bytes`.
 pub const DEFAULT_BODY_BYTES: usize = 4 << 20;
 
-/// How long callers keep an answer of `/v1/entries` unless the settings say otherwise.
+/// Default of `keep_millis`: cache time of an answer of `/v1/entries`.
 pub const DEFAULT_KEEP: Duration = Duration::from_secs(30);
 
 const MIN_BODY_BYTES: usize = 1 << 10;
@@ -26,12 +26,12 @@
 const MAX_THREADS: usize = 64;
 const MIN_KEEP_MILLIS: u64 = 1_000;
 const MAX_KEEP_MILLIS: u64 = 3_600_000;
-const DEFAULT_DRAIN: Duration = Duration::from_secs(120);
+const DEFAULT_DRAIN_TIMEOUT: Duration = Duration::from_secs(120);
 const MIN_DRAIN_MILLIS: u64 = 1_000;
 const MAX_DRAIN_MILLIS: u64 = 3_600_000;
 const ADDRESS: &str = "an address such as 10.0.0.1:8080";
 
-/// Reads settings; `folder` is where relative paths start.
+/// Reads the settings; relative paths start at `folder`.
 pub(super) fn settings(top: &mut Section<'_>, folder: &Path) -> Settings {
     let settings = Settings {
         instance: InstanceName::from(name(top, "instance", InstanceName::is_valid)),
@@ -134,7 +134,7 @@
     section.millis(
         "drain_millis",
         MIN_DRAIN_MILLIS..=MAX_DRAIN_MILLIS,
-        DEFAULT_DRAIN,
+        DEFAULT_DRAIN_TIMEOUT,
     )
 }
 
@@ -176,7 +176,7 @@
     section.optional_parse(key, ADDRESS)
 }
 
-/// The secret stands in the settings or in a file that they name.
+/// Reads the secret from `token` or from the file named by `token_file`.
 fn token(top: &mut Section<'_>, folder: &Path) -> Token {
     let direct = top.optional_text("token");
     let file = top.optional_text("token_file");
@@ -207,7 +207,7 @@
     })
 }
 
-/// Stands for a token with a problem; settings with problems are never returned.
+/// Placeholder for an invalid token; settings with problems are never returned.
 fn unset_token() -> Token {
     Token::open("settings-with-problems").expect("a valid constant")
 }
