--- a/app/tests/it/fleet.rs
+++ b/app/tests/it/fleet.rs
@@ -1,8 +1,8 @@
-//! Processes of a deployment whose upstreams announce themselves, over loopback sockets.
+//! Deployment whose upstreams announce themselves, over loopback sockets.
 //!
-//! Three control replicas and an entry run as processes of their own, upstreams
-//! are stand-ins of this test. What is said on the wire stands in the adapter's
-//! fixtures, because only the adapter knows those names.
+//! Three control replicas and an entry run as separate processes; the upstreams
+//! are stand-ins in this test. Messages come from the fixtures of the adapter,
+//! which alone defines the names on the wire.
 
 use std::fs;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -16,8 +16,8 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-/// Longest wait for something that has to come about.
-const PATIENCE: Duration = Duration::from_secs(30);
+/// Time limit of each wait for an expected state.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 const CONTROLS: [u8; 3] = [1, 2, 3];
 const ENTRY: u8 = 4;
 
@@ -46,7 +46,7 @@
 }
 
 impl Deployment {
-    /// Starts all processes on addresses of their own.
+    /// Starts all processes, each on its own address.
     fn start(network: u8) -> Self {
         let folder = tempfile::tempdir().unwrap();
         let hosts: Vec<IpAddr> = (1..=ENTRY).map(|host| ip(network, host)).collect();
@@ -108,9 +108,9 @@
     Some(normalize(&text))
 }
 
-/// Asks until the answer begins with `start`.
+/// Repeats the request until the answer begins with `start`.
 async fn until(address: SocketAddr, request: &str, start: &str) -> String {
-    let limit = Instant::now() + PATIENCE;
+    let limit = Instant::now() + WAIT_TIMEOUT;
     loop {
         let answer = ask(address, request).await;
         if let Some(answer) = answer.as_ref().filter(|a| a.starts_with(start)) {
@@ -124,8 +124,8 @@
     }
 }
 
-/// Answer without the time after which to come back, which is checked: callers are spread over it.
-fn without_retry(answer: &str) -> String {
+/// Replaces the value of `retry-after`, which varies by jitter, after checking its range.
+fn mask_retry_after(answer: &str) -> String {
     let name = "retry-after: ";
     let line = answer.lines().find(|l| l.starts_with(name)).unwrap();
     let seconds: f64 = line[name.len()..].parse().unwrap();
@@ -133,12 +133,13 @@
     answer.replace(line, "retry-after: TIME")
 }
 
-/// Stand-in that gives each connection the answer of its path; notes the requests.
-async fn stand_in(name: &str) -> (SocketAddr, Arc<Mutex<Vec<String>>>) {
+/// Starts a stand-in upstream that answers each connection by its path; returns its address and the
+/// recorded requests.
+async fn spawn_upstream(name: &str) -> (SocketAddr, Arc<Mutex<Vec<String>>>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
-    let notes: Arc<Mutex<Vec<String>>> = Arc::default();
-    let (noted, name) = (notes.clone(), name.to_owned());
+    let requests: Arc<Mutex<Vec<String>>> = Arc::default();
+    let (recorded, name) = (requests.clone(), name.to_owned());
     tokio::spawn(async move {
         while let Ok((mut stream, _)) = listener.accept().await {
             let mut bytes = vec![0; 4_096];
@@ -158,12 +159,12 @@
             } else {
                 fixture("events_cut.http", &[])
             };
-            noted.lock().unwrap().push(request);
-            // The entry may have gone.
+            recorded.lock().unwrap().push(request);
+            // The entry may have closed the connection.
             let _ = stream.write_all(answer.as_bytes()).await;
         }
     });
-    (address, notes)
+    (address, requests)
 }
 
 async fn announce(control: SocketAddr, name: &str, address: SocketAddr) {
@@ -173,7 +174,7 @@
 }
 
 #[tokio::test]
-async fn a_request_is_served_through_lost_replicas_closed_zones_and_a_stop() {
+async fn entry_serves_after_replica_loss_refuses_in_closed_zones_and_stops_gracefully() {
     const NETWORK: u8 = 1;
     let mut deployment = Deployment::start(NETWORK);
     let port = deployment.port + 2;
@@ -181,7 +182,7 @@
     let entry = deployment.address(NETWORK, ENTRY, 4);
     let declare = |version| fixture("declare.http", &[("version", version)]);
     let declared = until(control(1), &declare("7"), "HTTP/1.1 200").await;
-    let (address, notes) = stand_in("u1").await;
+    let (address, requests) = spawn_upstream("u1").await;
     announce(control(2), "u1", address).await;
 
     let call = fixture("call.http", &[("key", "k1")]);
@@ -192,19 +193,22 @@
     let resolve = fixture("resolve.http", &[]);
     let resolved = until(deployment.address(NETWORK, 3, 3), &resolve, "HTTP/1.1 200").await;
     let resolved = resolved.replace(&entry.to_string(), "ENTRY");
-    let told = until(
+    let entry_resolved = until(
         deployment.address(NETWORK, ENTRY, 3),
         &resolve,
         "HTTP/1.1 200",
     )
     .await;
-    assert_eq!(told.replace(&entry.to_string(), "ENTRY"), resolved);
+    assert_eq!(
+        entry_resolved.replace(&entry.to_string(), "ENTRY"),
+        resolved
+    );
     assert!(
-        !notes.lock().unwrap().iter().any(|r| r.contains("k1")),
-        "the key was passed on"
+        !requests.lock().unwrap().iter().any(|r| r.contains("k1")),
+        "the key was forwarded"
     );
 
-    // One replica of three is lost: orders and requests go on.
+    // With one of three replicas lost, orders and requests still succeed.
     deployment.controls.pop();
     until(control(1), &declare("8"), "HTTP/1.1 200").await;
     let read = until(control(2), &fixture("read.http", &[]), "HTTP/1.1 200").await;
@@ -212,9 +216,9 @@
     until(entry, &call, "HTTP/1.1 200").await;
 
     until(control(2), &fixture("close_zone.http", &[]), "HTTP/1.1 200").await;
-    let closed = without_retry(&until(entry, &call, "HTTP/1.1 503").await);
+    let closed = mask_retry_after(&until(entry, &call, "HTTP/1.1 503").await);
 
-    // A planned stop: not ready at once, and an end in order.
+    // A graceful stop fails the readiness check at once and exits with 0.
     let ready = fixture("ready.http", &[]);
     until(
         deployment.address(NETWORK, ENTRY, 5),
@@ -229,9 +233,9 @@
         "HTTP/1.1 503",
     )
     .await;
-    let limit = Instant::now() + PATIENCE;
-    while !deployment.entry.has_exited() {
-        assert!(Instant::now() < limit, "the entry does not end");
+    let limit = Instant::now() + WAIT_TIMEOUT;
+    while !deployment.entry.has_ended() {
+        assert!(Instant::now() < limit, "the entry does not exit");
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
     assert_eq!(deployment.entry.exit_code(), Some(0));
@@ -239,7 +243,7 @@
 }
 
 #[tokio::test]
-async fn a_stream_that_is_cut_goes_on_at_another_upstream() {
+async fn interrupted_stream_resumes_at_another_upstream() {
     const NETWORK: u8 = 2;
     let deployment = Deployment::start(NETWORK);
     let control = deployment.address(NETWORK, 1, 2);
@@ -250,12 +254,12 @@
         "HTTP/1.1 200",
     )
     .await;
-    let (first, asked_first) = stand_in("u1").await;
-    let (second, asked_second) = stand_in("u2").await;
+    let (first, asked_first) = spawn_upstream("u1").await;
+    let (second, asked_second) = spawn_upstream("u2").await;
     announce(control, "u1", first).await;
     announce(control, "u2", second).await;
     let call = fixture("call.http", &[("key", "k1")]);
-    // The entry knows both once each has been asked.
+    // The entry has both upstreams in its view once each has received a request.
     while asked_first.lock().unwrap().is_empty() || asked_second.lock().unwrap().is_empty() {
         until(entry, &call, "HTTP/1.1 200").await;
     }
--- a/app/tests/it/fleet_settings.rs
+++ b/app/tests/it/fleet_settings.rs
@@ -1,4 +1,4 @@
-//! Settings of the roles of a deployment whose upstreams announce themselves.
+//! Settings of a deployment whose upstreams announce themselves.
 
 use insta::assert_snapshot;
 use pimentotide::fleet::FleetSettings;
@@ -10,18 +10,18 @@
 #[test]
 fn unknown_keys_are_ignored_and_addresses_are_derived() {
     let settings = FleetSettings::parse(ENTRY).unwrap();
-    let told = (
+    let derived = (
         settings.calls(),
         settings.beacons_at(settings.ip),
         settings.seed_calls(),
         settings.lease(),
     );
-    assert_snapshot!(format!("{told:#?}"));
+    assert_snapshot!(format!("{derived:#?}"));
 }
 
 #[test]
-fn what_a_role_lacks_is_told() {
-    let wrong = [
+fn missing_and_invalid_settings_of_a_role_are_reported() {
+    let invalid = [
         ENTRY.replace("callers: \"10.1.0.40:8227\", ", ""),
         ENTRY.replace("role: entry", "role: control"),
         ENTRY.replace("role: entry", "role: agent"),
@@ -30,9 +30,9 @@
         ENTRY.replace("a-token-of-16-bytes", "short"),
         ENTRY.replace("10.1.0.40:8227", "somewhere"),
     ];
-    let told: Vec<String> = wrong
+    let errors: Vec<String> = invalid
         .iter()
         .map(|text| FleetSettings::parse(text).unwrap_err().to_string())
         .collect();
-    assert_snapshot!(told.join("\n"));
+    assert_snapshot!(errors.join("\n"));
 }
--- a/app/tests/it/local.rs
+++ b/app/tests/it/local.rs
@@ -1,4 +1,4 @@
-//! A whole deployment in this process, asked as a caller and an operator would.
+//! Local deployment in this process, tested through its caller and operator interfaces.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,11 +9,11 @@
 use pimentotide_standin::Control;
 use serde_json::{Value, json};
 
-/// Longest time for anything that is waited for.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Time limit of each request and wait.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Time between two looks.
-const POLL: Duration = Duration::from_millis(50);
+/// Interval between polls of the status.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 async fn deployment() -> (Deployment, SocketAddr, SocketAddr) {
     let (caller, operator) = (reserve_port(), reserve_port());
@@ -31,7 +31,7 @@
 async fn post(address: SocketAddr, path: &str, key: Option<&str>, body: &Value) -> (u16, Value) {
     let request = Client::default()
         .post(format!("http://{address}{path}"))
-        .timeout(PATIENCE);
+        .timeout(WAIT_TIMEOUT);
     let request = match key {
         Some(key) => request.insert_header(("idempotency-key", key)),
         None => request,
@@ -56,7 +56,7 @@
 }
 
 #[actix_rt::test]
-async fn completions_plain_and_streamed_are_whole() {
+async fn whole_and_streamed_completions_have_the_same_text() {
     let (deployment, caller, _) = deployment().await;
     let (status, whole) = post(caller, "/v1/completions", None, &completion("draft-small")).await;
     assert_eq!(status, 200);
@@ -89,7 +89,7 @@
 }
 
 #[actix_rt::test]
-async fn a_keyed_request_runs_once_through_every_entry() {
+async fn keyed_request_runs_once_across_all_entries() {
     let (deployment, ..) = deployment().await;
     let body = json!("two litres");
     let mut answers = Vec::new();
@@ -115,7 +115,7 @@
 }
 
 #[actix_rt::test]
-async fn refusals_say_what_and_whether_it_ran() {
+async fn refusals_report_the_kind_and_whether_the_request_ran() {
     let (deployment, caller, _) = deployment().await;
     let mut table = Vec::new();
     let cases = [
@@ -145,7 +145,7 @@
 }
 
 #[actix_rt::test]
-async fn a_zone_taken_out_gets_no_new_work() {
+async fn closed_zone_receives_no_new_requests() {
     let (deployment, caller, operator) = deployment().await;
     let order = json!({"id": "out-1", "actor": "test", "action": {"zone": {"zone": "zone-a", "standing": "out"}}});
     let (status, answer) = post(operator, "/orders", None, &order).await;
@@ -154,7 +154,7 @@
     assert_eq!(
         again,
         (status, answer),
-        "the same order gets the first answer"
+        "the repeated order receives the first answer"
     );
     wait_for_revision(operator, 2).await;
     let before = runs_by_zone(&deployment);
@@ -163,16 +163,16 @@
         assert_eq!(status, 200);
     }
     let after = runs_by_zone(&deployment);
-    assert_eq!(after[0], before[0], "zone-a ran nothing more");
+    assert_eq!(after[0], before[0], "zone-a received a request");
     assert_eq!(after.iter().sum::<u64>(), before.iter().sum::<u64>() + 12);
     deployment.stop().await;
 }
 
 #[actix_rt::test]
-async fn a_long_answer_that_is_not_streamed_runs_once() {
+async fn long_completion_without_streaming_runs_once() {
     let (deployment, caller, _) = deployment().await;
     let mut long = completion("draft-small");
-    // Five seconds of tokens, longer than the silence after which an upstream counts as stalled.
+    // Five seconds of tokens, longer than the time without data after which an upstream is stalled.
     long["max_tokens"] = Value::from(1_000);
     let (status, answer) = post(caller, "/v1/completions", None, &long).await;
     assert_eq!(status, 200, "{answer}");
@@ -182,7 +182,7 @@
 }
 
 #[actix_rt::test]
-async fn a_request_that_crashes_engines_crashes_two_at_most() {
+async fn crashing_request_crashes_at_most_two_engines() {
     let (deployment, ..) = deployment().await;
     for engine in deployment.engines() {
         let crash_on = Some("glue that explodes".to_owned());
@@ -201,7 +201,7 @@
         assert_ne!(status, 200, "{answer}");
         kinds.push(answer["kind"].as_str().expect("a kind").to_owned());
         let (status, _) = post(entry, "/v1/completions", None, &completion("draft-small")).await;
-        assert_eq!(status, 200, "an innocent request is answered");
+        assert_eq!(status, 200, "a harmless request is answered");
     }
     let crashes: u64 = deployment
         .engines()
@@ -213,7 +213,7 @@
     deployment.stop().await;
 }
 
-/// Runs on the stand-ins of each zone, which stand in the order of the zones.
+/// Returns the runs of the stand-ins per zone; the stand-ins are in the order of the zones.
 fn runs_by_zone(deployment: &Deployment) -> Vec<u64> {
     let runs: Vec<_> = deployment
         .engines()
@@ -223,7 +223,7 @@
     runs.chunks(3).map(|zone| zone.iter().sum()).collect()
 }
 
-/// Waits until every agent and entry has the revision in force.
+/// Waits until every agent and entry has applied the revision.
 async fn wait_for_revision(operator: SocketAddr, revision: u64) {
     let waiting = async {
         loop {
@@ -236,10 +236,10 @@
             if agents && all("entries").iter().all(held) {
                 return;
             }
-            tokio::time::sleep(POLL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     };
-    tokio::time::timeout(PATIENCE, waiting)
+    tokio::time::timeout(WAIT_TIMEOUT, waiting)
         .await
-        .expect("the revision comes into force");
+        .expect("the revision is applied");
 }
--- a/app/tests/it/main.rs
+++ b/app/tests/it/main.rs
@@ -1,4 +1,4 @@
-//! Integration tests of the binary's library.
+//! Integration tests of the binary and its library.
 
 mod explain;
 mod fleet;
--- a/app/tests/it/settings.rs
+++ b/app/tests/it/settings.rs
@@ -1,4 +1,4 @@
-//! Settings files, valid and invalid, and the samples of both deployments.
+//! Valid and invalid settings files, and the samples of both deployments.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn invalid_settings_are_refused_with_all_problems() {
+fn invalid_settings_are_rejected_with_every_problem() {
     for path in files("tests/settings/invalid") {
         let Err(SettingsError::Invalid(problems)) = Settings::open(&path) else {
             panic!("{} was accepted or not read", path.display());
@@ -82,19 +82,19 @@
             assert_eq!(
                 stem(path),
                 settings.instance.as_str(),
-                "file and instance agree"
+                "the file is named after its instance"
             );
         }
     }
 }
 
 #[test]
-fn a_missing_file_is_named() {
+fn missing_file_is_reported_as_unreadable() {
     let error = Settings::open(Path::new("no-such-file.yaml")).expect_err("no such file");
     assert!(matches!(error, SettingsError::Unreadable(..)), "{error}");
 }
 
-/// Keys that the reader knows in a section, as its complaint about another key lists them.
+/// Returns the keys of a section, as listed by the error about an unknown key.
 fn known_keys(text: &str, section: &str) -> Vec<String> {
     let Err(problems) = Settings::parse(text, Path::new(".")) else {
         panic!("the unknown key was accepted");
@@ -107,7 +107,7 @@
     let found = problems
         .iter()
         .find(|p| p.path == path)
-        .expect("a complaint about zzz");
+        .expect("an error about zzz");
     let (_, list) = found
         .message
         .split_once("known here: ")
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn the_page_names_every_key() {
+fn page_lists_every_key() {
     let page =
         fs::read_to_string(Path::new(env!("CARGO_MANIFEST_DIR")).join("../docs/SETTINGS.md"))
             .expect("the page exists");
@@ -142,7 +142,7 @@
 }
 
 #[test]
-fn the_page_names_every_error_kind() {
+fn page_lists_every_error_kind() {
     let page = Path::new(env!("CARGO_MANIFEST_DIR")).join("../docs/OPERATIONS.md");
     let page = fs::read_to_string(page).expect("the page exists");
     for kind in pimentotide_model::ErrorKind::ALL {
@@ -158,12 +158,12 @@
 
     proptest! {
         #[test]
-        fn no_text_makes_the_reader_panic(text in ".{0,400}") {
+        fn arbitrary_text_does_not_panic(text in ".{0,400}") {
             let _ = Settings::parse(&text, Path::new("."));
         }
 
         #[test]
-        fn no_line_of_yaml_makes_the_reader_panic(
+        fn arbitrary_yaml_lines_do_not_panic(
             lines in prop::collection::vec(
                 (prop::sample::select(vec![
                     "instance", "zone", "token", "control", "entries", "entry", "replica", "agent",
--- a/app/tests/it/soak.rs
+++ b/app/tests/it/soak.rs
@@ -1,4 +1,4 @@
-//! A short soak of real processes, with a seed of its own.
+//! Short soak test of real processes with a fixed seed.
 
 use std::path::PathBuf;
 use std::time::Duration;
@@ -6,7 +6,7 @@
 use pimentotide_soak::{SoakOptions, run};
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_short_soak_breaks_no_promise() {
+async fn short_soak_violates_no_guarantee() {
     let options = SoakOptions {
         binary: PathBuf::from(env!("CARGO_BIN_EXE_pimentotide")),
         seed: 7,
