--- a/app/src/options/help.rs
+++ b/app/src/options/help.rs
@@ -56,7 +56,7 @@
 
 Usage: pimentotide serve FILE
 
-Stops gracefully on SIGTERM and Ctrl-C: redirects callers, drains running requests and transfers
+Stops gracefully on SIGTERM and Ctrl-C: refuses new requests, drains running ones and transfers
 leadership. Exits with 2 if the settings are invalid.";
 
 pub(super) const EXPLAIN: &str = "\
