--- a/app/src/run/roles.rs
+++ b/app/src/run/roles.rs
@@ -243,13 +243,16 @@
     });
     let (agent, follower) = (Arc::new(agent), Arc::new(follower));
     let tasks = [
-        actix_rt::spawn(forward_revisions(agent.heard(), Arc::clone(&follower))),
+        actix_rt::spawn(forward_revisions(
+            agent.highest_revision(),
+            Arc::clone(&follower),
+        )),
         actix_rt::spawn(forward_incarnation(
             reporter.incarnation(),
             Arc::clone(&agent),
         )),
         actix_rt::spawn(drain_when_superseded(
-            reporter.standby(),
+            reporter.incarnation_state(),
             Arc::clone(&agent),
         )),
     ];
@@ -265,7 +268,7 @@
 async fn forward_revisions(mut revisions: watch::Receiver<Revision>, follower: Arc<Follower>) {
     while revisions.changed().await.is_ok() {
         let revision = *revisions.borrow_and_update();
-        follower.hear(revision);
+        follower.observe_revision(revision);
     }
 }
 
@@ -273,7 +276,7 @@
 async fn forward_incarnation(mut incarnation: watch::Receiver<Incarnation>, agent: Arc<Agent>) {
     while incarnation.changed().await.is_ok() {
         let assigned = *incarnation.borrow_and_update();
-        agent.rename(assigned);
+        agent.set_alias(assigned);
     }
 }
 
