--- a/app/tests/it/fleet.rs
+++ b/app/tests/it/fleet.rs
@@ -234,7 +234,7 @@
     )
     .await;
     let limit = Instant::now() + WAIT_TIMEOUT;
-    while !deployment.entry.has_ended() {
+    while !deployment.entry.has_exited() {
         assert!(Instant::now() < limit, "the entry does not exit");
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
