--- a/dev/scenario/tests/scenarios.rs
+++ b/dev/scenario/tests/scenarios.rs
@@ -1,8 +1,8 @@
-//! Runs every script twice and compares what happened with its snapshot.
+//! Runs every script twice, requires identical reports and compares them with a snapshot.
 
 #![expect(
     clippy::needless_pass_by_value,
-    reason = "the harness hands the text over by value"
+    reason = "the harness passes the text by value"
 )]
 
 use std::path::Path;
@@ -24,7 +24,7 @@
     settings.bind(|| insta::assert_snapshot!(name_of(path), text));
 }
 
-fn play(path: &Path, text: &str) -> Result<(String, bool), String> {
+fn run_twice(path: &Path, text: &str) -> Result<(String, bool), String> {
     let script = Script::parse(text).map_err(|errors| {
         let lines = errors.iter().map(|e| format!("{}:{e}", path.display()));
         lines.collect::<Vec<_>>().join("\n")
@@ -37,29 +37,29 @@
     Ok((first.to_string(), first.failures.is_empty()))
 }
 
-/// Stories in which every rule and every expectation holds.
-fn story(path: &Path, text: String) -> datatest_stable::Result<()> {
-    let (report, passed) = play(path, &text)?;
+/// Scripts in which every invariant and every expectation holds.
+fn script_passes(path: &Path, text: String) -> datatest_stable::Result<()> {
+    let (report, passed) = run_twice(path, &text)?;
     if !passed {
         eprintln!("{}\n{report}", path.display());
-        return Err("the story failed".into());
+        return Err("the scenario failed".into());
     }
     record("scenarios", path, &report);
     Ok(())
 }
 
-/// Stories with one protection left out: the loss has to be seen.
-fn broken(path: &Path, text: String) -> datatest_stable::Result<()> {
-    let (report, passed) = play(path, &text)?;
+/// Scripts that bypass one protection: the run has to fail.
+fn bypassed_guard_is_detected(path: &Path, text: String) -> datatest_stable::Result<()> {
+    let (report, passed) = run_twice(path, &text)?;
     if passed {
-        return Err("the run passed without its protection".into());
+        return Err("the run passed with a protection bypassed".into());
     }
     record("broken", path, &report);
     Ok(())
 }
 
-/// Scripts that are wrong: refused with file and line.
-fn invalid(path: &Path, text: String) -> datatest_stable::Result<()> {
+/// Invalid scripts: rejected with file and line of every error.
+fn invalid_script_is_rejected(path: &Path, text: String) -> datatest_stable::Result<()> {
     let Err(errors) = Script::parse(&text) else {
         return Err("the script was accepted".into());
     };
@@ -70,7 +70,7 @@
 }
 
 datatest_stable::harness! {
-    { test = story, root = "tests/scenarios", pattern = r"\.scn$" },
-    { test = broken, root = "tests/broken", pattern = r"\.scn$" },
-    { test = invalid, root = "tests/invalid", pattern = r"\.scn$" },
+    { test = script_passes, root = "tests/scenarios", pattern = r"\.scn$" },
+    { test = bypassed_guard_is_detected, root = "tests/broken", pattern = r"\.scn$" },
+    { test = invalid_script_is_rejected, root = "tests/invalid", pattern = r"\.scn$" },
 }
