--- a/dev/scenario/src/bin/scenario_soak.rs
+++ b/dev/scenario/src/bin/scenario_soak.rs
@@ -1,4 +1,4 @@
-//! Runs stories under other seeds than their own and prints what was broken.
+//! Runs scripts under seeds from 1 up to `SEEDS` and prints the failures of each run.
 //!
 //! Usage: `scenario_soak SEEDS FILE...`
 
--- a/dev/scenario/src/lib.rs
+++ b/dev/scenario/src/lib.rs
@@ -1,10 +1,10 @@
 //! Scenario language for failure tests under virtual time.
 //!
-//! A script names instances and upstreams, starts them, makes faults, offers
-//! load and says what is expected; `docs/SCENARIOS.md` has the language. The
-//! pure machines of the decision packages run underneath, between small fakes:
-//! a table of links, disks in memory, clocks and engines with ledgers of their
-//! own. One seed leads to one run.
+//! A script declares instances and upstreams, starts them, injects faults,
+//! generates load and checks expectations; `docs/SCENARIOS.md` specifies the
+//! language. The pure state machines of the decision packages run between small
+//! fakes: network links, in-memory disks, clocks and engines that record what
+//! they ran. A run is determined by its seed.
 
 mod script;
 mod world;
@@ -13,15 +13,15 @@
 
 pub use script::{Script, ScriptError};
 
-/// Most failures that a report shows.
-const MAX_SHOWN: usize = 6;
+/// Failures that a report prints before it abbreviates the rest.
+const MAX_SHOWN_FAILURES: usize = 6;
 
-/// What a run left behind.
+/// Trace and failures of a run.
 #[derive(Clone, Debug)]
 pub struct Report {
-    /// What happened, one line each.
+    /// Events of the run, one line each.
     pub trace: Vec<String>,
-    /// Expectations that failed and rules that were broken.
+    /// Failed expectations and violated invariants.
     pub failures: Vec<String>,
 }
 
@@ -34,9 +34,9 @@
             return writeln!(f, "passed");
         }
         writeln!(f, "failed")?;
-        let shown = self.failures.iter().take(MAX_SHOWN);
+        let shown = self.failures.iter().take(MAX_SHOWN_FAILURES);
         shown.into_iter().try_for_each(|l| writeln!(f, "  {l}"))?;
-        match self.failures.len().saturating_sub(MAX_SHOWN) {
+        match self.failures.len().saturating_sub(MAX_SHOWN_FAILURES) {
             0 => Ok(()),
             more => writeln!(f, "  and {more} more"),
         }
@@ -45,5 +45,5 @@
 
 /// Runs a script to its end.
 pub fn run(script: &Script) -> Report {
-    world::play(script)
+    world::run_script(script)
 }
--- a/dev/scenario/src/script/expect.rs
+++ b/dev/scenario/src/script/expect.rs
@@ -1,4 +1,4 @@
-//! Expectations.
+//! Parses the operands of `expect`.
 
 use pimentotide_model::{ErrorKind, Ran};
 
@@ -20,9 +20,9 @@
         "order" => {
             let id = words.name("an order")?;
             let verdict = words.next("accepted, conflict, mismatch or invalid")?;
-            let known = ["accepted", "conflict", "mismatch", "invalid"];
-            if !known.contains(&verdict) {
-                return Err(format!("expected one of {known:?}, found {verdict:?}"));
+            let allowed = ["accepted", "conflict", "mismatch", "invalid"];
+            if !allowed.contains(&verdict) {
+                return Err(format!("expected one of {allowed:?}, found {verdict:?}"));
             }
             Expect::Verdict(id, verdict.to_owned())
         }
@@ -64,7 +64,7 @@
     let kind = words.option("as")?;
     let kind = kind.map(|k| error_kind(&k)).transpose()?;
     let ran = words.option("ran")?;
-    let ran = ran.map(|r| ran_of(&r)).transpose()?;
+    let ran = ran.map(|r| ran_state(&r)).transpose()?;
     Ok(Expect::Refused(name, kind, ran))
 }
 
@@ -75,7 +75,7 @@
         .ok_or_else(|| format!("{word:?} is not an error kind"))
 }
 
-fn ran_of(word: &str) -> Result<Ran, String> {
+fn ran_state(word: &str) -> Result<Ran, String> {
     let all = [Ran::No, Ran::Yes, Ran::Unknown];
     let found = all.into_iter().find(|r| r.to_string() == word);
     found.ok_or_else(|| format!("expected no, yes or unknown, found {word:?}"))
--- a/dev/scenario/src/script/mod.rs
+++ b/dev/scenario/src/script/mod.rs
@@ -1,4 +1,4 @@
-//! The language: one statement a line, checked before anything runs.
+//! Script language: one statement per line, validated as a whole before the run.
 
 mod expect;
 mod parse;
@@ -8,22 +8,22 @@
 use derive_more::Display;
 
 pub(crate) use statement::{
-    DiskFault, Expect, Guard, Link, OrderText, RequestText, ServiceText, Statement, UpstreamText,
+    DiskFault, Expect, Guard, Link, OrderSpec, RequestSpec, ServiceSpec, Statement, UpstreamSpec,
 };
 
-/// What is wrong with a script, and where.
+/// Error in one line of a script.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 #[display("{line}: {message}")]
 pub struct ScriptError {
-    /// Line, from 1.
+    /// Line number, from 1.
     pub line: usize,
-    /// What is wrong.
+    /// Description of the error, without the line number.
     pub message: String,
 }
 
 impl std::error::Error for ScriptError {}
 
-/// A statement and where it stands.
+/// A statement with its line number and source text.
 #[derive(Clone, Debug)]
 pub(crate) struct Step {
     pub(crate) line: usize,
@@ -31,7 +31,7 @@
     pub(crate) statement: Statement,
 }
 
-/// A script that may run.
+/// A parsed and validated script.
 #[derive(Clone, Debug)]
 pub struct Script {
     pub(crate) seed: u64,
@@ -39,16 +39,16 @@
 }
 
 impl Script {
-    /// Reads a script.
+    /// Parses and validates a script.
     ///
     /// # Errors
     ///
-    /// Returns every line that is wrong.
+    /// Returns one error for each invalid line.
     pub fn parse(text: &str) -> Result<Self, Vec<ScriptError>> {
         parse::script(text)
     }
 
-    /// Returns the same story under another seed.
+    /// Returns the same script with another seed.
     #[must_use]
     pub fn with_seed(&self, seed: u64) -> Self {
         Self {
--- a/dev/scenario/src/script/parse.rs
+++ b/dev/scenario/src/script/parse.rs
@@ -1,4 +1,4 @@
-//! From lines to statements.
+//! Parses lines into statements and checks that they refer to declared names.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -7,25 +7,25 @@
 
 use super::expect::expect;
 use super::statement::{
-    DiskFault, Guard, Link, OrderText, RequestText, ServiceText, Statement, UpstreamText,
+    DiskFault, Guard, Link, OrderSpec, RequestSpec, ServiceSpec, Statement, UpstreamSpec,
 };
 use super::words::Words;
 use super::{Script, ScriptError, Step};
 
-/// Time that an engine takes unless the script says otherwise.
+/// Time in which an engine answers a request when the script sets no `takes`.
 const DEFAULT_TAKES: Duration = Duration::from_millis(100);
-/// Time that a request has unless the script says otherwise.
+/// Deadline of a request when the script sets no `deadline`.
 const DEFAULT_DEADLINE: Duration = Duration::from_secs(10);
 
-/// What lines before the present one have declared.
+/// Declarations of the preceding lines.
 #[derive(Default)]
 struct Scope {
     begun: bool,
-    grouped: bool,
+    has_group: bool,
     seed: Option<u64>,
     disks: usize,
     /// Whether an upstream or a group has been declared.
-    peopled: bool,
+    has_upstreams: bool,
     names: BTreeSet<String>,
     services: BTreeSet<String>,
     places: BTreeSet<String>,
@@ -139,7 +139,7 @@
     } else {
         DEFAULT_TAKES
     };
-    Ok(Statement::Upstream(UpstreamText {
+    Ok(Statement::Upstream(UpstreamSpec {
         name,
         zone,
         service,
@@ -182,7 +182,7 @@
         Some("serve") => LeaseExpiryPolicy::Serve,
         Some(other) => return Err(format!("expected refuse or serve, found {other:?}")),
     };
-    Ok(Statement::Service(ServiceText {
+    Ok(Statement::Service(ServiceSpec {
         name,
         kind,
         once,
@@ -229,7 +229,7 @@
         return Err(format!("expected in or out, found {standing:?}"));
     }
     let via = words.option("via")?;
-    Ok(Statement::Order(OrderText {
+    Ok(Statement::Order(OrderSpec {
         id,
         base,
         kind,
@@ -244,7 +244,7 @@
     let name = words.name("a name")?;
     let service = words.name("a service")?;
     words.expect("via")?;
-    Ok(Statement::Request(RequestText {
+    Ok(Statement::Request(RequestSpec {
         name,
         service,
         via: words.name("an instance")?,
@@ -302,37 +302,37 @@
             return Err("this has to stand after \"begin\"".to_owned());
         }
         self.declare(statement)?;
-        self.names_used(statement)
+        self.check_references(statement)
     }
 
     fn declare(&mut self, statement: &Statement) -> Result<(), String> {
-        let fresh = match statement {
+        let inserted = match statement {
             Statement::Seed(seed) => self.seed.replace(*seed).is_none(),
             Statement::Instance { name, zone, disk } => {
-                if self.peopled {
+                if self.has_upstreams {
                     return Err("instances stand before upstreams and groups".to_owned());
                 }
                 self.disks += usize::from(*disk);
                 self.places.insert(zone.clone());
                 self.names.insert(name.clone())
             }
-            Statement::Upstream(text) => {
-                known(&self.services, "service", &text.service)?;
-                self.peopled = true;
-                self.places.insert(text.zone.clone());
-                self.places.insert(text.name.clone());
-                self.names.insert(text.name.clone())
+            Statement::Upstream(spec) => {
+                require_declared(&self.services, "service", &spec.service)?;
+                self.has_upstreams = true;
+                self.places.insert(spec.zone.clone());
+                self.places.insert(spec.name.clone());
+                self.names.insert(spec.name.clone())
             }
             Statement::Group { name, ranks, .. } => {
-                self.peopled = true;
+                self.has_upstreams = true;
                 let names = (0..*ranks).map(|r| format!("{name}-{r}"));
                 self.names.extend(names);
-                !std::mem::replace(&mut self.grouped, true)
+                !std::mem::replace(&mut self.has_group, true)
             }
-            Statement::Service(text) => self.services.insert(text.name.clone()),
-            Statement::Request(text) => self.requests.insert(text.name.clone()),
-            Statement::Order(text) => {
-                self.orders.insert(text.id.clone());
+            Statement::Service(spec) => self.services.insert(spec.name.clone()),
+            Statement::Request(spec) => self.requests.insert(spec.name.clone()),
+            Statement::Order(spec) => {
+                self.orders.insert(spec.id.clone());
                 true
             }
             Statement::Begin => {
@@ -344,13 +344,13 @@
             }
             _ => true,
         };
-        if fresh {
+        if inserted {
             return Ok(());
         }
         Err("this name is declared already".to_owned())
     }
 
-    fn names_used(&self, statement: &Statement) -> Result<(), String> {
+    fn check_references(&self, statement: &Statement) -> Result<(), String> {
         match statement {
             Statement::Start(name)
             | Statement::Stop(name)
@@ -359,40 +359,42 @@
             | Statement::KillAgent(name)
             | Statement::Pause(name, _)
             | Statement::Disk(name, _)
-            | Statement::Clock(name, _) => known(&self.names, "node", name),
+            | Statement::Clock(name, _) => require_declared(&self.names, "node", name),
             Statement::Cut(link) | Statement::Heal(Some(link)) => {
                 let ends = [&link.from, &link.to];
                 ends.into_iter()
                     .flatten()
-                    .try_for_each(|n| known(&self.names, "node", n))
+                    .try_for_each(|n| require_declared(&self.names, "node", n))
             }
-            Statement::Order(text) => known(&self.places, "zone or upstream", &text.target),
-            Statement::Resend(id, _) => known(&self.orders, "order", id),
-            Statement::Request(text) => {
-                known(&self.services, "service", &text.service)?;
-                known(&self.names, "node", &text.via)
+            Statement::Order(spec) => {
+                require_declared(&self.places, "zone or upstream", &spec.target)
             }
-            Statement::Load { service, .. } => known(&self.services, "service", service),
-            Statement::Expect(expect) => self.expected(expect),
+            Statement::Resend(id, _) => require_declared(&self.orders, "order", id),
+            Statement::Request(spec) => {
+                require_declared(&self.services, "service", &spec.service)?;
+                require_declared(&self.names, "node", &spec.via)
+            }
+            Statement::Load { service, .. } => require_declared(&self.services, "service", service),
+            Statement::Expect(expect) => self.check_expect(expect),
             _ => Ok(()),
         }
     }
 
-    fn expected(&self, expect: &super::Expect) -> Result<(), String> {
+    fn check_expect(&self, expect: &super::Expect) -> Result<(), String> {
         use super::Expect;
         match expect {
             Expect::Answered(name) | Expect::Refused(name, ..) => {
-                known(&self.requests, "request", name)
+                require_declared(&self.requests, "request", name)
             }
-            Expect::Work { place, .. } => known(&self.places, "zone or upstream", place),
-            Expect::Verdict(id, _) => known(&self.orders, "order", id),
-            Expect::NotLeader(name) => known(&self.names, "node", name),
+            Expect::Work { place, .. } => require_declared(&self.places, "zone or upstream", place),
+            Expect::Verdict(id, _) => require_declared(&self.orders, "order", id),
+            Expect::NotLeader(name) => require_declared(&self.names, "node", name),
             _ => Ok(()),
         }
     }
 }
 
-fn known(names: &BTreeSet<String>, what: &str, name: &str) -> Result<(), String> {
+fn require_declared(names: &BTreeSet<String>, what: &str, name: &str) -> Result<(), String> {
     if names.contains(name) {
         return Ok(());
     }
--- a/dev/scenario/src/script/statement.rs
+++ b/dev/scenario/src/script/statement.rs
@@ -1,4 +1,4 @@
-//! Statements of a script.
+//! Syntax tree of a script.
 
 use std::time::Duration;
 
@@ -13,8 +13,8 @@
         zone: String,
         disk: bool,
     },
-    Upstream(UpstreamText),
-    Service(ServiceText),
+    Upstream(UpstreamSpec),
+    Service(ServiceSpec),
     Group {
         name: String,
         zone: String,
@@ -36,10 +36,10 @@
     Delay(Duration, Duration),
     Disk(String, DiskFault),
     Clock(String, Duration),
-    Order(OrderText),
+    Order(OrderSpec),
     Resend(String, Option<String>),
     Flood(u32),
-    Request(RequestText),
+    Request(RequestSpec),
     Load {
         service: String,
         rate: u32,
@@ -51,9 +51,9 @@
     Expect(Expect),
 }
 
-/// An upstream with its engine.
+/// Declares an upstream and its engine.
 #[derive(Clone, Debug, PartialEq)]
-pub(crate) struct UpstreamText {
+pub(crate) struct UpstreamSpec {
     pub(crate) name: String,
     pub(crate) zone: String,
     pub(crate) service: String,
@@ -61,9 +61,9 @@
     pub(crate) takes: Duration,
 }
 
-/// A service with its profile.
+/// Declares a service and its profile.
 #[derive(Clone, Debug, PartialEq)]
-pub(crate) struct ServiceText {
+pub(crate) struct ServiceSpec {
     pub(crate) name: String,
     pub(crate) kind: ServiceKind,
     pub(crate) once: bool,
@@ -72,7 +72,7 @@
     pub(crate) lapse: LeaseExpiryPolicy,
 }
 
-/// A direction between nodes, or both; no name stands for all others.
+/// Network link in one direction or both; `None` means all nodes.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Link {
     pub(crate) from: Option<String>,
@@ -80,7 +80,7 @@
     pub(crate) both: bool,
 }
 
-/// How a disk fails.
+/// Fault injected into a disk.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum DiskFault {
     Fails,
@@ -89,9 +89,9 @@
     Lost,
 }
 
-/// An order of an operator.
+/// Order submitted by an operator.
 #[derive(Clone, Debug, PartialEq)]
-pub(crate) struct OrderText {
+pub(crate) struct OrderSpec {
     pub(crate) id: String,
     pub(crate) base: Option<u64>,
     pub(crate) kind: String,
@@ -101,9 +101,9 @@
     pub(crate) unanswered: bool,
 }
 
-/// A request of a caller.
+/// Request sent by a caller.
 #[derive(Clone, Debug, PartialEq)]
-pub(crate) struct RequestText {
+pub(crate) struct RequestSpec {
     pub(crate) name: String,
     pub(crate) service: String,
     pub(crate) via: String,
@@ -111,7 +111,7 @@
     pub(crate) content: Option<String>,
 }
 
-/// A protection that the fakes leave out on purpose, to show that its loss is seen.
+/// Protection that a script disables to show that the invariant checks detect its absence.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Guard {
     Gate,
@@ -125,7 +125,7 @@
     Maps,
 }
 
-/// What is expected.
+/// Operand of `expect`.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum Expect {
     Answered(String),
--- a/dev/scenario/src/script/words.rs
+++ b/dev/scenario/src/script/words.rs
@@ -1,8 +1,8 @@
-//! Words of one line.
+//! Reads the words of one line.
 
 use std::time::Duration;
 
-/// Words not yet read; every failure is a message for the line.
+/// Remaining words of a line in reverse order; errors are messages without the line number.
 pub(super) struct Words<'a> {
     rest: Vec<&'a str>,
 }
@@ -24,7 +24,7 @@
         self.next(what).map(str::to_owned)
     }
 
-    /// Takes the next word if it is `word`.
+    /// Consumes the next word if it equals `word`.
     pub(super) fn accept(&mut self, word: &str) -> bool {
         let found = self.rest.last() == Some(&word);
         if found {
@@ -41,7 +41,7 @@
         Err(format!("expected {word:?}, found {found:?}"))
     }
 
-    /// Reads the value of an option such as `key K`, if it is here.
+    /// Reads the value of an option such as `key K`; `None` if the next word is not `word`.
     pub(super) fn option(&mut self, word: &str) -> Result<Option<String>, String> {
         if self.accept(word) {
             return self.name(&format!("a value of {word:?}")).map(Some);
--- a/dev/scenario/src/world/agent.rs
+++ b/dev/scenario/src/world/agent.rs
@@ -1,4 +1,4 @@
-//! Agents: gate, memory of claims, announcements and reports beside an engine.
+//! Agents: gate, claim ledger, announcements and load reports of an upstream.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -14,39 +14,41 @@
     AgentLedger, Begin, Blob, Body, ClaimRef, Conclusion, LedgerEpoch, LedgerLimits, NotRun,
     Outcome, Piece, Place,
 };
-use pimentotide_routing::{Completed, Gate, GatePolicy, GateSettings, Outcome as Ended, Permit};
+use pimentotide_routing::{
+    Completed, Gate, GatePolicy, GateSettings, Outcome as GateOutcome, Permit,
+};
 
 use super::engine::{PIECES, Run, answer_to};
-use super::holder::Holder;
-use super::parcel::{Parcel, Work, WorkAnswer};
-use super::{Item, NodeId, World};
+use super::packet::{Packet, Work, WorkAnswer};
+use super::watcher::Watcher;
+use super::{NodeId, SimEvent, World};
 use crate::script::Guard;
 
-/// Time after which an agent that died runs again.
-const RESTART: Duration = Duration::from_millis(300);
-/// Pause between load reports.
-const REPORT: Duration = Duration::from_millis(100);
+/// Time from the crash of an agent to its restart.
+const AGENT_RESTART_DELAY: Duration = Duration::from_millis(300);
+/// Interval of load reports to every entry.
+const LOAD_REPORT_INTERVAL: Duration = Duration::from_millis(100);
 
-/// A request that the agent has handed to its engine.
+/// A request passed to the engine and not yet answered.
 struct Running {
     permit: Option<Permit>,
     claim: Option<ClaimRef>,
-    since: Time,
-    first: Option<Time>,
+    started_at: Time,
+    first_token_at: Option<Time>,
 }
 
-/// The process beside an engine.
+/// State of a running agent.
 pub(super) struct Agent {
-    pub(super) holder: Holder,
+    pub(super) watcher: Watcher,
     gate: Gate,
     ledger: AgentLedger,
     epoch: LedgerEpoch,
     announcer: Announcer,
     announcement: Announcement,
     running: BTreeMap<u64, Running>,
-    beat: Time,
-    report: Time,
-    engine: u64,
+    next_heartbeat: Time,
+    next_report: Time,
+    engine_generation: u64,
     revision: Revision,
 }
 
@@ -59,37 +61,37 @@
             capacity: announcement.capacity,
             policy: GatePolicy::of(&Declarations::default(), &announcement),
         };
-        let epoch = LedgerEpoch(self.fresh());
+        let epoch = LedgerEpoch(self.next_id());
         let incarnation = announcement.incarnation;
         let replicas = self.disks.len();
         let agent = Agent {
-            holder: Holder::new(replicas, node, now),
+            watcher: Watcher::new(replicas, node, now),
             gate: Gate::open(settings, now),
             ledger: AgentLedger::open(epoch, incarnation, LedgerLimits::default()),
             epoch,
             announcer: Announcer::new(announcement.clone(), replicas, now),
-            engine: self.engines[&node].start,
+            engine_generation: self.engines[&node].generation,
             announcement,
             running: BTreeMap::new(),
-            beat: now,
-            report: now,
+            next_heartbeat: now,
+            next_report: now,
             revision: Revision(0),
         };
         self.agents.insert(node, agent);
     }
 
     fn announcement(&self, node: NodeId) -> Announcement {
-        let text = &self.engines[&node].text;
-        let kind = self.services[&text.service].kind;
-        let service = ServiceName::from(text.service.as_str());
+        let spec = &self.engines[&node].spec;
+        let kind = self.services[&spec.service].kind;
+        let service = ServiceName::from(spec.service.as_str());
         let model = (
-            ModelName::from(text.service.as_str()),
+            ModelName::from(spec.service.as_str()),
             VersionName::from("1"),
         );
         Announcement {
-            upstream: UpstreamName::from(text.name.as_str()),
+            upstream: UpstreamName::from(spec.name.as_str()),
             incarnation: Incarnation(self.time.as_micros() + 1),
-            zone: ZoneName::from(text.zone.as_str()),
+            zone: ZoneName::from(spec.zone.as_str()),
             address: Self::address(node).to_string(),
             kind,
             services: if kind == ServiceKind::Plain {
@@ -103,7 +105,7 @@
                 Vec::new()
             },
             adapters: Vec::new(),
-            capacity: text.capacity,
+            capacity: spec.capacity,
             group: None,
             leaving: false,
             revision: Revision(0),
@@ -115,27 +117,27 @@
         if !self.agents.contains_key(&node) {
             return;
         }
-        self.look_at_engine(node);
-        self.tick_holder(node);
+        self.check_engine(node);
+        self.tick_watcher(node);
         let now = self.local(node);
         let unleased = self.bypasses(Guard::Currency);
         let agent = self.agents.get_mut(&node).expect("the agent runs");
         let expiry = if unleased {
             Time::MAX
         } else {
-            agent.holder.watch.expiry()
+            agent.watcher.watch.expiry()
         };
         agent.gate.renew(expiry);
         let _ = agent.gate.tick(now);
         let report = agent.gate.report();
-        let (epoch, revision) = (agent.epoch, agent.holder.watch.revision());
+        let (epoch, revision) = (agent.epoch, agent.watcher.watch.revision());
         agent
             .announcer
             .set_status(revision, Fence(0), report.warmth);
-        if now >= agent.report {
-            agent.report = now + REPORT;
+        if now >= agent.next_report {
+            agent.next_report = now + LOAD_REPORT_INTERVAL;
             for entry in 0..self.instances {
-                self.send(node, entry, Parcel::Load(report, epoch));
+                self.send(node, entry, Packet::Load(report, epoch));
             }
         }
         self.announce(node, now);
@@ -148,43 +150,43 @@
     fn announce(&mut self, node: NodeId, now: Time) {
         let replicas: Vec<NodeId> = self.disks.keys().copied().collect();
         let agent = self.agents.get_mut(&node).expect("the agent runs");
-        if now < agent.beat {
+        if now < agent.next_heartbeat {
             return;
         }
-        agent.beat = now + HEARTBEAT_INTERVAL;
+        agent.next_heartbeat = now + HEARTBEAT_INTERVAL;
         let rank = agent.announcer.rank();
         let reports: Vec<_> = (0..replicas.len())
             .map(|r| agent.announcer.report(r))
             .collect();
         for (to, report) in replicas.into_iter().zip(reports) {
-            self.send(node, to, Parcel::Report(rank, Box::new(report)));
+            self.send(node, to, Packet::Report(rank, Box::new(report)));
         }
     }
 
-    pub(super) fn heard(
+    pub(super) fn report_answered(
         &mut self,
         from: NodeId,
         node: NodeId,
         rank: (Incarnation, u64),
-        heard: ReportAnswer,
+        answer: ReportAnswer,
     ) {
         let now = self.local(node);
         let replica = self.disks.keys().position(|n| *n == from);
         if let (Some(agent), Some(replica)) = (self.agents.get_mut(&node), replica) {
-            agent.announcer.receive(replica, rank, heard, now);
+            agent.announcer.receive(replica, rank, answer, now);
         }
     }
 
-    /// Notices that the engine has started anew.
-    fn look_at_engine(&mut self, node: NodeId) {
+    /// Starts a new incarnation if the engine has restarted.
+    fn check_engine(&mut self, node: NodeId) {
         let now = self.local(node);
-        let start = self.engines[&node].start;
+        let generation = self.engines[&node].generation;
         let incarnation = Incarnation(self.time.as_micros() + 1);
         let agent = self.agents.get_mut(&node).expect("the agent runs");
-        if agent.engine == start {
+        if agent.engine_generation == generation {
             return;
         }
-        agent.engine = start;
+        agent.engine_generation = generation;
         agent.announcement.incarnation = incarnation;
         agent.gate.restart(incarnation, now);
         agent.ledger.upstream_crashed(now);
@@ -192,26 +194,26 @@
         agent
             .announcer
             .set_announcement(agent.announcement.clone(), now);
-        agent.beat = now;
+        agent.next_heartbeat = now;
     }
 
-    /// The agent dies; its engine goes on with what it runs.
+    /// Crashes an agent; its engine continues to run the requests that it has.
     pub(super) fn kill_agent(&mut self, node: NodeId) {
         self.agents.remove(&node);
         let runs = self.engines.get(&node).map(|e| e.runs.clone());
         for (number, run) in runs.unwrap_or_default() {
-            self.answer_flight(node, &run, WorkAnswer::Reset);
-            let engine = self.engines.get_mut(&node).expect("it runs");
+            self.answer_run(node, &run, WorkAnswer::Reset);
+            let engine = self.engines.get_mut(&node).expect("the engine was listed");
             if let Some(run) = engine.runs.get_mut(&number) {
                 run.connected = false;
             }
         }
-        let life = self.hosts[node].life;
-        self.schedule(RESTART, Item::Agent(node, life));
+        let generation = self.hosts[node].generation;
+        self.schedule(AGENT_RESTART_DELAY, SimEvent::Agent(node, generation));
     }
 
-    pub(super) fn agent_back(&mut self, node: NodeId, life: u64) {
-        if self.hosts[node].up && self.hosts[node].life == life {
+    pub(super) fn restart_agent(&mut self, node: NodeId, generation: u64) {
+        if self.hosts[node].up && self.hosts[node].generation == generation {
             self.start_agent(node);
         }
     }
@@ -227,18 +229,18 @@
             agent
                 .announcer
                 .set_announcement(agent.announcement.clone(), now);
-            agent.beat = now;
+            agent.next_heartbeat = now;
         }
     }
 
-    /// Puts the policy of a newer configuration in force.
-    pub(super) fn agent_news(&mut self, node: NodeId) {
+    /// Applies the gate policy of a newer configuration.
+    pub(super) fn update_agent_policy(&mut self, node: NodeId) {
         let now = self.local(node);
         let unleased = self.bypasses(Guard::Currency);
         let Some(agent) = self.agents.get_mut(&node) else {
             return;
         };
-        let Some(declarations) = agent.holder.watch.declarations() else {
+        let Some(declarations) = agent.watcher.watch.declarations() else {
             return;
         };
         if unleased && agent.revision > Revision(0) {
@@ -250,12 +252,12 @@
         let _ = agent.gate.set_policy(policy, capacity, now);
     }
 
-    /// A request arrives to be run.
-    pub(super) fn work(&mut self, from: NodeId, node: NodeId, work: Work) {
+    /// Claims, admits and starts a received request, or answers why it does not run.
+    pub(super) fn work_received(&mut self, from: NodeId, node: NodeId, work: Work) {
         let now = self.local(node);
-        self.look_at_engine_if_up(node);
+        self.check_engine_if_running(node);
         let claims = !self.bypasses(Guard::Claims);
-        let open = self.bypasses(Guard::Gate);
+        let ungated = self.bypasses(Guard::Gate);
         let Some(agent) = self.agents.get_mut(&node) else {
             return;
         };
@@ -270,13 +272,13 @@
                 return self.send(
                     node,
                     from,
-                    Parcel::Answer(work.flight, work.attempt, answer),
+                    Packet::Answer(work.request, work.attempt, answer),
                 );
             }
         }
         let permit = match agent.gate.admit(&work.admission, now) {
             Ok(permit) => Some(permit),
-            Err(_) if open => None,
+            Err(_) if ungated => None,
             Err(refusal) => {
                 let mut answer = WorkAnswer::Refused(Box::new(refusal));
                 if let Some((held, _)) = &work.claim {
@@ -286,18 +288,18 @@
                 return self.send(
                     node,
                     from,
-                    Parcel::Answer(work.flight, work.attempt, answer),
+                    Packet::Answer(work.request, work.attempt, answer),
                 );
             }
         };
         let running = Running {
             permit,
             claim: work.claim.as_ref().map(|(held, _)| held.clone()),
-            since: now,
-            first: None,
+            started_at: now,
+            first_token_at: None,
         };
         let run = Run {
-            flight: work.flight,
+            request: work.request,
             attempt: work.attempt,
             name: work.name,
             content: work.content,
@@ -306,26 +308,26 @@
             once: work.claim.is_some(),
             connected: true,
         };
-        let lies = self.bypasses(Guard::Refusals);
+        let misreports = self.bypasses(Guard::Refusals);
         let number = self.engine_run(node, run.clone());
         let agent = self.agents.get_mut(&node).expect("the agent runs");
         agent.running.insert(number, running);
-        if lies {
+        if misreports {
             let report = agent.gate.report();
             let kind = ErrorKind::Overloaded;
             let refusal = Box::new(pimentotide_routing::Refusal { kind, report });
-            self.answer_flight(node, &run, WorkAnswer::Refused(refusal));
+            self.answer_run(node, &run, WorkAnswer::Refused(refusal));
         }
     }
 
-    fn look_at_engine_if_up(&mut self, node: NodeId) {
+    fn check_engine_if_running(&mut self, node: NodeId) {
         if self.agents.contains_key(&node) {
-            self.look_at_engine(node);
+            self.check_engine(node);
         }
     }
 
-    /// The engine has made a piece of an answer.
-    pub(super) fn made(
+    /// Sends a piece that the engine produced; completes the request after the last one.
+    pub(super) fn piece_produced(
         &mut self,
         node: NodeId,
         number: u64,
@@ -337,26 +339,32 @@
         if let Some(agent) = self.agents.get_mut(&node)
             && let Some(running) = agent.running.get_mut(&number)
         {
-            if running.first.is_none() {
-                running.first = Some(now);
+            if running.first_token_at.is_none() {
+                running.first_token_at = Some(now);
                 if let Some(permit) = &running.permit {
                     agent.gate.first_token(permit, now);
                 }
             }
             if ended {
-                let running = agent.running.remove(&number).expect("it runs");
-                let first = running.first.map(|f| f.since(running.since));
+                let running = agent.running.remove(&number).expect("the request runs");
+                let first = running.first_token_at.map(|f| f.since(running.started_at));
                 if let Some(claim) = running.claim {
                     let end = Conclusion::Finished(outcome_of(&run.content));
                     agent.ledger.finish(claim.claim, end, now);
                 }
-                complete(&mut agent.gate, running.permit, Ended::Good, first, now);
+                complete(
+                    &mut agent.gate,
+                    running.permit,
+                    GateOutcome::Good,
+                    first,
+                    now,
+                );
             }
         }
         if run.once {
             if ended {
                 let answer = WorkAnswer::Finished(outcome_of(&run.content));
-                self.answer_flight(node, run, answer);
+                self.answer_run(node, run, answer);
             }
             return;
         }
@@ -364,48 +372,54 @@
             self.answer_piece(node, run, position);
         }
         if ended {
-            let request = super::flight::request_id(run.flight);
+            let request = super::stream::request_id(run.request);
             let end = Piece::End {
                 request,
                 attempt: run.attempt,
                 total: PIECES,
             };
-            self.answer_flight(node, run, WorkAnswer::Piece(end));
+            self.answer_run(node, run, WorkAnswer::Piece(end));
         }
     }
 
     fn answer_piece(&mut self, node: NodeId, run: &Run, position: u64) {
         let piece = Piece::Token {
-            request: super::flight::request_id(run.flight),
+            request: super::stream::request_id(run.request),
             attempt: run.attempt,
             position,
             token: answer_to(&run.content)[position as usize].clone(),
         };
-        self.answer_flight(node, run, WorkAnswer::Piece(piece));
+        self.answer_run(node, run, WorkAnswer::Piece(piece));
     }
 
-    /// The engine died with these requests.
-    pub(super) fn runs_died(&mut self, node: NodeId, runs: BTreeMap<u64, Run>) {
+    /// Fails the requests that ran at an engine when it crashed.
+    pub(super) fn runs_failed(&mut self, node: NodeId, runs: BTreeMap<u64, Run>) {
         let now = self.local(node);
         for (number, run) in runs {
             let mut answer = WorkAnswer::Reset;
             if let Some(agent) = self.agents.get_mut(&node)
                 && let Some(running) = agent.running.remove(&number)
             {
-                answer = WorkAnswer::Died(agent.announcer.incarnation());
+                answer = WorkAnswer::EngineCrashed(agent.announcer.incarnation());
                 if let Some(claim) = running.claim {
                     agent.ledger.finish(claim.claim, Conclusion::Died, now);
                 }
-                complete(&mut agent.gate, running.permit, Ended::Failed, None, now);
+                complete(
+                    &mut agent.gate,
+                    running.permit,
+                    GateOutcome::Failed,
+                    None,
+                    now,
+                );
             }
             if !self.hosts[node].up {
                 answer = WorkAnswer::Reset;
             }
-            self.answer_flight(node, &run, answer);
+            self.answer_run(node, &run, answer);
         }
     }
 
-    pub(super) fn inquired(
+    pub(super) fn inquiry_received(
         &mut self,
         from: NodeId,
         node: NodeId,
@@ -416,7 +430,7 @@
         let now = self.local(node);
         if let Some(agent) = self.agents.get_mut(&node) {
             let finding = agent.ledger.inquire(held.claim, place, now);
-            self.send(node, from, Parcel::Found(once, stage, finding));
+            self.send(node, from, Packet::Found(once, stage, finding));
         }
     }
 }
@@ -424,7 +438,7 @@
 fn complete(
     gate: &mut Gate,
     permit: Option<Permit>,
-    outcome: Ended,
+    outcome: GateOutcome,
     first: Option<Duration>,
     now: Time,
 ) {
@@ -438,7 +452,7 @@
     }
 }
 
-/// Whole answer of a request that runs once.
+/// Complete answer to a request that runs at most once.
 pub(super) fn outcome_of(content: &str) -> Arc<Outcome> {
     Arc::new(Outcome {
         status: 201,
--- a/dev/scenario/src/world/call.rs
+++ b/dev/scenario/src/world/call.rs
@@ -1,4 +1,4 @@
-//! Proposals to the control replicas, repeated until they are answered.
+//! Proposals to the control replicas, retried until they are answered or time out.
 
 use std::time::Duration;
 
@@ -6,20 +6,20 @@
 use pimentotide_model::{AdminState, OrderId, Revision, Time, UpstreamName, ZoneName};
 use pimentotide_outcome::Reply;
 
-use super::parcel::{Parcel, Proposed};
-use super::{Item, NodeId, OUTSIDE, World};
-use crate::script::OrderText;
+use super::packet::{Packet, Proposed};
+use super::{NodeId, OUTSIDE, SimEvent, World};
+use crate::script::OrderSpec;
 
-/// Time that one replica has to answer.
-const ANSWER: Duration = Duration::from_millis(1_500);
-/// Pause before a refused proposal is made elsewhere.
-const PAUSE: Duration = Duration::from_millis(50);
-/// Time after which a claim is given up as unconfirmed.
-const CLAIM: Duration = Duration::from_secs(3);
-/// Time after which anything else is given up.
-const PATIENCE: Duration = Duration::from_secs(60);
+/// Time to wait for one replica before the next is tried.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Delay before a rejected proposal is sent to another replica.
+const RETRY_DELAY: Duration = Duration::from_millis(50);
+/// Time after which a claim or an expert command counts as unconfirmed.
+const CLAIM_TIMEOUT: Duration = Duration::from_secs(3);
+/// Time after which any other proposal is no longer retried.
+const CALL_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// What a proposal is for.
+/// Originator of a proposal, which receives the response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum Purpose {
     Services,
@@ -30,17 +30,17 @@
     Experts(NodeId),
 }
 
-/// One proposal under way.
+/// A pending proposal.
 pub(super) struct Call {
     from: NodeId,
     command: Command,
     purpose: Purpose,
     position: usize,
     attempt: u32,
-    until: Time,
+    deadline: Time,
 }
 
-/// An order of an operator, and its latest answer.
+/// An order of an operator and its latest verdict.
 #[derive(Clone)]
 pub(super) struct OrderState {
     order: Order,
@@ -56,7 +56,7 @@
         purpose: Purpose,
         first: Option<NodeId>,
     ) {
-        let id = self.fresh();
+        let id = self.next_id();
         let claim = matches!(purpose, Purpose::Claim(_) | Purpose::Experts(_));
         let call = Call {
             from,
@@ -68,30 +68,30 @@
                 .position(|n| *n == first.unwrap_or(from))
                 .unwrap_or(0),
             attempt: 0,
-            until: self.time + if claim { CLAIM } else { PATIENCE },
+            deadline: self.time + if claim { CLAIM_TIMEOUT } else { CALL_TIMEOUT },
         };
         self.calls.insert(id, call);
-        self.dial(id);
+        self.send_call(id);
     }
 
-    fn dial(&mut self, id: u64) {
+    fn send_call(&mut self, id: u64) {
         let time = self.time;
         let replicas: Vec<NodeId> = self.disks.keys().copied().collect();
         let Some(call) = self.calls.get_mut(&id) else {
             return;
         };
-        if time >= call.until {
+        if time >= call.deadline {
             return self.conclude(id, None);
         }
         call.attempt += 1;
         let to = replicas[call.position % replicas.len()];
         let (from, attempt) = (call.from, call.attempt);
         let command = Box::new(call.command.clone());
-        self.send(from, to, Parcel::Propose(id, command));
-        self.schedule(ANSWER, Item::Call(id, attempt));
+        self.send(from, to, Packet::Propose(id, command));
+        self.schedule(ANSWER_TIMEOUT, SimEvent::Call(id, attempt));
     }
 
-    pub(super) fn call_late(&mut self, id: u64, attempt: u32) {
+    pub(super) fn call_timed_out(&mut self, id: u64, attempt: u32) {
         let Some(call) = self.calls.get_mut(&id) else {
             return;
         };
@@ -99,7 +99,7 @@
             return;
         }
         call.position += 1;
-        self.dial(id);
+        self.send_call(id);
     }
 
     pub(super) fn call_answered(&mut self, to: NodeId, id: u64, result: Proposed) {
@@ -110,7 +110,7 @@
             return;
         }
         if let Proposed::Rejected(Some(leader)) = result {
-            // The late call goes on to the one after this position.
+            // `call_timed_out` advances by one position before it sends.
             let found = self.disks.keys().position(|n| *n == leader);
             call.position = found.map_or(call.position, |p| p + self.disks.len() - 1);
         }
@@ -119,7 +119,7 @@
             Proposed::Rejected(_) | Proposed::Unknown => {
                 call.attempt += 1;
                 let attempt = call.attempt;
-                self.schedule(PAUSE, Item::Call(id, attempt));
+                self.schedule(RETRY_DELAY, SimEvent::Call(id, attempt));
             }
         }
     }
@@ -144,42 +144,42 @@
             }
             (Purpose::Order(order), _) => self.note(&format!("order {order}: no answer")),
             (Purpose::Claim(once), _) => self.once_committed(once, reply),
-            (Purpose::Trial(flight), _) => self.trial_answered(flight, reply.as_ref()),
+            (Purpose::Trial(stream), _) => self.trial_answered(stream, reply.as_ref()),
             (Purpose::Services | Purpose::Crash | Purpose::Experts(_), _) => {}
         }
     }
 
-    pub(super) fn order(&mut self, text: &OrderText) -> Result<(), String> {
-        let standing = if text.standing == "out" {
+    pub(super) fn order(&mut self, spec: &OrderSpec) -> Result<(), String> {
+        let standing = if spec.standing == "out" {
             AdminState::Out
         } else {
             AdminState::In
         };
-        let action = if text.kind == "zone" {
+        let action = if spec.kind == "zone" {
             Action::Zone {
-                zone: ZoneName::from(text.target.as_str()),
+                zone: ZoneName::from(spec.target.as_str()),
                 standing,
             }
         } else {
             Action::Upstream {
-                upstream: UpstreamName::from(text.target.as_str()),
+                upstream: UpstreamName::from(spec.target.as_str()),
                 standing: Some(standing),
                 fenced: None,
             }
         };
         let order = Order {
-            id: OrderId::from(text.id.as_str()),
-            base: text.base.map(Revision),
+            id: OrderId::from(spec.id.as_str()),
+            base: spec.base.map(Revision),
             actor: "operator".to_owned(),
             action,
         };
         let state = OrderState {
             order,
             verdict: None,
-            unanswered: text.unanswered,
+            unanswered: spec.unanswered,
         };
-        self.orders.insert(text.id.clone(), state);
-        self.resend(&text.id, text.via.as_deref())
+        self.orders.insert(spec.id.clone(), state);
+        self.resend(&spec.id, spec.via.as_deref())
     }
 
     pub(super) fn resend(&mut self, id: &str, via: Option<&str>) -> Result<(), String> {
@@ -196,7 +196,7 @@
         Ok(())
     }
 
-    /// Orders that follow each other at once, each a change.
+    /// Submits `count` orders at once, each of which changes the configuration.
     pub(super) fn flood(&mut self, count: u32) {
         let zone = ZoneName::from("flooded");
         for number in 0..count {
@@ -232,12 +232,12 @@
     }
 }
 
-/// Says a verdict as scripts name it.
+/// Formats a verdict in the words that scripts expect.
 pub(super) fn verdict_text(verdict: &Verdict) -> String {
     match verdict {
         Verdict::Accepted { revision } => format!("accepted as revision {revision}"),
         Verdict::Conflict { base, current, .. } => {
-            format!("conflict: made at revision {base}, in force is {current}")
+            format!("conflict: based on revision {base}, current revision is {current}")
         }
         Verdict::Mismatch { .. } => "mismatch".to_owned(),
         Verdict::Invalid { .. } => "invalid".to_owned(),
--- a/dev/scenario/src/world/clock.rs
+++ b/dev/scenario/src/world/clock.rs
@@ -1,4 +1,4 @@
-//! Clocks of one instance.
+//! Monotonic and wall clocks of a process.
 
 use std::time::Duration;
 
@@ -7,46 +7,46 @@
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 
-/// How much the rate of a clock differs from true time at most.
-const DRIFT: f64 = 0.02;
+/// Maximum relative deviation of a clock's rate from virtual time.
+const MAX_DRIFT_RATIO: f64 = 0.02;
 
-/// Monotonic clock of a process, which starts anew with it, and a wall clock, which may step.
+/// Monotonic clock, reset at each process start, and a wall clock that scripts may step.
 #[derive(Clone, Debug)]
 pub(super) struct Clock {
-    start: Time,
+    started_at: Time,
     origin: Time,
     rate: f64,
-    shift: Duration,
+    wall_offset: Duration,
 }
 
 impl Clock {
     pub(super) fn new() -> Self {
         Self {
-            start: Time::ZERO,
+            started_at: Time::ZERO,
             origin: Time::ZERO,
             rate: 1.0,
-            shift: Duration::from_secs(1_000),
+            wall_offset: Duration::from_secs(1_000),
         }
     }
 
     pub(super) fn local(&self, time: Time) -> Time {
-        self.origin + time.since(self.start).mul_f64(self.rate)
+        self.origin + time.since(self.started_at).mul_f64(self.rate)
     }
 
     pub(super) fn moment(&self, time: Time) -> Moment {
         Moment {
             now: self.local(time),
-            wall: time + self.shift,
+            wall: time + self.wall_offset,
         }
     }
 
     pub(super) fn step(&mut self, by: Duration) {
-        self.shift += by;
+        self.wall_offset += by;
     }
 
     pub(super) fn restart(&mut self, time: Time, rng: &mut ChaCha8Rng) {
-        self.start = time;
+        self.started_at = time;
         self.origin = Time::from_millis(rng.random_range(0..1_000_000));
-        self.rate = rng.random_range(1.0 - DRIFT..=1.0 + DRIFT);
+        self.rate = rng.random_range(1.0 - MAX_DRIFT_RATIO..=1.0 + MAX_DRIFT_RATIO);
     }
 }
--- a/dev/scenario/src/world/engine.rs
+++ b/dev/scenario/src/world/engine.rs
@@ -1,54 +1,54 @@
-//! Engines: they run what they are given, bear what they can, and keep count.
+//! Fake engines: run requests piece by piece and report each start to the history.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use super::parcel::WorkAnswer;
-use super::{Item, NodeId, World};
-use crate::script::UpstreamText;
+use super::packet::WorkAnswer;
+use super::{NodeId, SimEvent, World};
+use crate::script::UpstreamSpec;
 
-/// Pieces of an answer.
+/// Number of pieces in every answer.
 pub(super) const PIECES: u64 = 4;
-/// Completions that let an engine bear one request more.
-const WARMING: u32 = 2;
+/// Completed requests after which an engine's warm-up limit rises by one.
+const COMPLETIONS_PER_SLOT: u32 = 2;
 
 /// A request that an engine runs.
 #[derive(Clone, Debug)]
 pub(super) struct Run {
-    pub(super) flight: u64,
+    pub(super) request: u64,
     pub(super) attempt: u32,
     pub(super) name: String,
     pub(super) content: String,
     pub(super) position: u64,
     pub(super) entry: NodeId,
     pub(super) once: bool,
-    /// Whether whoever sent it still waits on a connection.
+    /// Whether the connection to the sender is open.
     pub(super) connected: bool,
 }
 
-/// A stand-in for an engine or a plain service.
+/// Fake of an engine or a plain service.
 pub(super) struct Engine {
-    pub(super) text: UpstreamText,
-    /// Number of the present start.
-    pub(super) start: u64,
+    pub(super) spec: UpstreamSpec,
+    /// Number of starts, which marks events of earlier starts as outdated.
+    pub(super) generation: u64,
     pub(super) runs: BTreeMap<u64, Run>,
-    good: u32,
+    completed: u32,
 }
 
 impl Engine {
-    pub(super) fn new(text: &UpstreamText) -> Self {
+    pub(super) fn new(spec: &UpstreamSpec) -> Self {
         Self {
-            text: text.clone(),
-            start: 0,
+            spec: spec.clone(),
+            generation: 0,
             runs: BTreeMap::new(),
-            good: 0,
+            completed: 0,
         }
     }
 
-    /// Requests at once that the engine bears as warm as it is.
-    fn bears(&self) -> u32 {
-        let warmed = 1 + self.good / WARMING;
-        warmed.min(self.text.capacity)
+    /// Returns the concurrency limit at the present stage of warm-up.
+    fn concurrency_limit(&self) -> u32 {
+        let limit = 1 + self.completed / COMPLETIONS_PER_SLOT;
+        limit.min(self.spec.capacity)
     }
 
     pub(super) fn running(&self) -> usize {
@@ -56,7 +56,7 @@
     }
 }
 
-/// Pieces of the whole answer to a content.
+/// Returns the pieces of the complete answer to `content`.
 pub(super) fn answer_to(content: &str) -> Vec<String> {
     (0..PIECES).map(|p| format!("{content}.{p}")).collect()
 }
@@ -64,86 +64,91 @@
 impl World {
     pub(super) fn start_engine(&mut self, node: NodeId) {
         if let Some(engine) = self.engines.get_mut(&node) {
-            engine.start += 1;
-            engine.good = 0;
+            engine.generation += 1;
+            engine.completed = 0;
             engine.runs.clear();
         }
     }
 
-    /// An engine starts over with nothing in its memory; what ran has ended.
-    pub(super) fn turn_cold(&mut self, node: NodeId) {
-        self.engine_dies(node);
+    /// Restarts an engine cold; the requests that it runs fail.
+    pub(super) fn restart_cold(&mut self, node: NodeId) {
+        self.crash_engine(node);
         self.start_engine(node);
     }
 
-    /// Runs a request; returns its number at the engine.
+    /// Starts a request and returns its number at the engine.
     pub(super) fn engine_run(&mut self, node: NodeId, run: Run) -> u64 {
-        let number = self.fresh();
+        let number = self.next_id();
         let host = &self.hosts[node];
         let (name, zone) = (host.name.clone(), host.zone.clone());
         let engine = self
             .engines
             .get_mut(&node)
             .expect("an upstream has an engine");
-        let (running, bears) = (engine.runs.len() as u32, engine.bears());
-        let (start, pause) = (engine.start, engine.text.takes / PIECES as u32);
+        let (running, limit) = (engine.runs.len() as u32, engine.concurrency_limit());
+        let (generation, pause) = (engine.generation, engine.spec.takes / PIECES as u32);
         let poisoned = self.poisons.contains(&run.content);
-        self.ledger.given(self.time, &name, running, bears);
-        self.ledger.started(self.time, &run.name, &name, &zone);
+        self.history
+            .check_concurrency(self.time, &name, running, limit);
+        self.history.started(self.time, &run.name, &name, &zone);
         engine.runs.insert(number, run);
         let pause = if poisoned { pause / 2 } else { pause };
-        self.schedule(pause, Item::Engine(node, start, number));
+        self.schedule(pause, SimEvent::Engine(node, generation, number));
         number
     }
 
-    /// An engine makes the next piece of an answer.
-    pub(super) fn engine_step(&mut self, node: NodeId, start: u64, number: u64) {
-        let Some(engine) = self.engines.get_mut(&node).filter(|e| e.start == start) else {
+    /// Produces the next piece of an answer, or crashes the engine on poisoned content.
+    pub(super) fn engine_step(&mut self, node: NodeId, generation: u64, number: u64) {
+        let Some(engine) = self
+            .engines
+            .get_mut(&node)
+            .filter(|e| e.generation == generation)
+        else {
             return;
         };
         let Some(run) = engine.runs.get_mut(&number) else {
             return;
         };
         if self.poisons.contains(&run.content) {
-            self.ledger.crashes += 1;
+            self.history.crashes += 1;
             let text = format!("{} crashes {}", run.content, self.hosts[node].name);
             self.note(&text);
-            self.turn_cold(node);
+            self.restart_cold(node);
             return;
         }
         let position = run.position;
         run.position = (position + 1).min(PIECES);
-        let (run, pause) = (run.clone(), engine.text.takes / PIECES as u32);
+        let (run, pause) = (run.clone(), engine.spec.takes / PIECES as u32);
         let ended = run.position == PIECES;
         if ended {
             engine.runs.remove(&number);
-            engine.good += 1;
+            engine.completed += 1;
         } else {
-            self.schedule(pause, Item::Engine(node, start, number));
+            self.schedule(pause, SimEvent::Engine(node, generation, number));
         }
-        self.made(node, number, &run, position, ended);
+        self.piece_produced(node, number, &run, position, ended);
     }
 
-    /// Everything that runs at an engine ends without an answer.
-    pub(super) fn engine_dies(&mut self, node: NodeId) {
+    /// Crashes an engine; the requests that it runs fail.
+    pub(super) fn crash_engine(&mut self, node: NodeId) {
         let Some(engine) = self.engines.get_mut(&node) else {
             return;
         };
         let runs = std::mem::take(&mut engine.runs);
-        engine.start += u64::from(!runs.is_empty());
-        self.runs_died(node, runs);
+        engine.generation += u64::from(!runs.is_empty());
+        self.runs_failed(node, runs);
     }
 
-    pub(super) fn answer_flight(&mut self, node: NodeId, run: &Run, answer: WorkAnswer) {
+    pub(super) fn answer_run(&mut self, node: NodeId, run: &Run, answer: WorkAnswer) {
         if !run.connected {
             return;
         }
-        let parcel = super::Parcel::Answer(run.flight, run.attempt, answer);
-        self.send(node, run.entry, parcel);
+        let packet = super::Packet::Answer(run.request, run.attempt, answer);
+        self.send(node, run.entry, packet);
     }
 
-    /// Pause between two pieces, for whoever waits for one.
-    pub(super) fn longest_pause() -> Duration {
+    /// Time without a piece or an answer after which an attempt fails.
+    pub(super) fn piece_timeout() -> Duration {
         Duration::from_secs(2)
     }
 }
--- a/dev/scenario/src/world/entry.rs
+++ b/dev/scenario/src/world/entry.rs
@@ -1,4 +1,4 @@
-//! Entries: placement of idempotent requests and assembly of their answers.
+//! Entries: receive requests from callers and keep the placer up to date.
 
 use std::collections::BTreeMap;
 
@@ -11,18 +11,18 @@
 use pimentotide_outcome::LedgerEpoch;
 use pimentotide_routing::{Placer, PlacerSettings};
 
-use super::holder::Holder;
-use super::ledger::Told;
-use super::parcel::Parcel;
+use super::history::CallerResult;
+use super::packet::Packet;
+use super::watcher::Watcher;
 use super::{NodeId, World};
-use crate::script::{Guard, RequestText};
+use crate::script::{Guard, RequestSpec};
 
-/// The process that callers reach.
+/// State of a running entry.
 pub(super) struct Entry {
-    pub(super) holder: Holder,
+    pub(super) watcher: Watcher,
     pub(super) placer: Placer,
     pub(super) epochs: BTreeMap<UpstreamName, LedgerEpoch>,
-    beat: Time,
+    next_heartbeat: Time,
 }
 
 impl World {
@@ -31,10 +31,10 @@
         let zone = ZoneName::from(self.hosts[node].zone.as_str());
         let settings = PlacerSettings::new(self.instance_name(node), zone);
         let entry = Entry {
-            holder: Holder::new(self.disks.len(), node, now),
+            watcher: Watcher::new(self.disks.len(), node, now),
             placer: Placer::open(settings),
             epochs: BTreeMap::new(),
-            beat: now,
+            next_heartbeat: now,
         };
         self.entries.insert(node, entry);
     }
@@ -43,43 +43,48 @@
         if !self.entries.contains_key(&node) {
             return;
         }
-        self.tick_holder(node);
+        self.tick_watcher(node);
         let now = self.local(node);
         let presence = Presence {
             instance: self.instance_name(node),
             zone: ZoneName::from(self.hosts[node].zone.as_str()),
-            revision: self.entries[&node].holder.watch.revision(),
-            current: self.entries[&node].holder.watch.is_current(now),
+            revision: self.entries[&node].watcher.watch.revision(),
+            current: self.entries[&node].watcher.watch.is_current(now),
         };
         let entry = self.entries.get_mut(&node).expect("the entry runs");
-        if now >= entry.beat {
-            entry.beat = now + HEARTBEAT_INTERVAL;
+        if now >= entry.next_heartbeat {
+            entry.next_heartbeat = now + HEARTBEAT_INTERVAL;
             let replicas: Vec<NodeId> = self.disks.keys().copied().collect();
             for to in replicas {
                 let report = Box::new(Report::Entry(presence.clone()));
-                self.send(node, to, Parcel::Report((Incarnation(0), 0), report));
+                self.send(node, to, Packet::Report((Incarnation(0), 0), report));
             }
         }
-        self.tick_flights(node, now);
+        self.tick_streams(node, now);
         if self.hosts[node].stopping {
-            let flights = self.flights.values().any(|f| f.entry == node);
+            let streams = self.streams.values().any(|s| s.entry == node);
             let onces = self.onces.values().any(|o| o.entry == node);
-            if !flights && !onces || self.bypasses(Guard::Drain) {
+            if !streams && !onces || self.bypasses(Guard::Drain) {
                 self.exit(node);
             }
         }
     }
 
-    /// Takes news of the watch.
-    pub(super) fn news(&mut self, node: NodeId, taken: WatchOutcome, events: Vec<Event>) {
+    /// Applies a watch update to the gate policy of an agent or the placer of an entry.
+    pub(super) fn watch_updated(
+        &mut self,
+        node: NodeId,
+        outcome: WatchOutcome,
+        events: Vec<Event>,
+    ) {
         if node >= self.instances {
-            return self.agent_news(node);
+            return self.update_agent_policy(node);
         }
         let Some(entry) = self.entries.get_mut(&node) else {
             return;
         };
-        if taken == WatchOutcome::Changed
-            && let Some(declarations) = entry.holder.watch.declarations()
+        if outcome == WatchOutcome::Changed
+            && let Some(declarations) = entry.watcher.watch.declarations()
         {
             entry.placer.declare(declarations.clone());
         }
@@ -91,7 +96,7 @@
         }
     }
 
-    pub(super) fn loaded(
+    pub(super) fn load_reported(
         &mut self,
         from: NodeId,
         node: NodeId,
@@ -106,57 +111,57 @@
         }
     }
 
-    pub(super) fn meta(&self, id: u64, text: &RequestText, node: NodeId) -> RequestMeta {
-        let service = &self.services[&text.service];
-        let content = text.content.as_deref().unwrap_or(&text.name);
+    pub(super) fn meta(&self, id: u64, spec: &RequestSpec, node: NodeId) -> RequestMeta {
+        let service = &self.services[&spec.service];
+        let content = spec.content.as_deref().unwrap_or(&spec.name);
         RequestMeta {
-            id: super::flight::request_id(id),
+            id: super::stream::request_id(id),
             workspace: WorkspaceName::from("council"),
-            service: ServiceName::from(text.service.as_str()),
+            service: ServiceName::from(spec.service.as_str()),
             model: (service.kind == ServiceKind::Model)
-                .then(|| ModelName::from(text.service.as_str())),
+                .then(|| ModelName::from(spec.service.as_str())),
             version: None,
             adapter: None,
             priority: Priority(100),
             deadline: self.local(node) + service.deadline,
             idempotent: !service.once,
-            key: text.key.as_deref().map(IdempotencyKey::from),
+            key: spec.key.as_deref().map(IdempotencyKey::from),
             fingerprint: Fingerprint::of([content.as_bytes()]),
             prefix: Vec::new(),
             stream: !service.once,
         }
     }
 
-    /// A caller asks an entry.
-    pub(super) fn ask(&mut self, text: &RequestText) -> Result<(), String> {
-        let node = self.node(&text.via).ok_or("no such instance")?;
-        let service = self.services[&text.service].clone();
+    /// Sends a request of a caller to an entry.
+    pub(super) fn send_request(&mut self, spec: &RequestSpec) -> Result<(), String> {
+        let node = self.node(&spec.via).ok_or("no such instance")?;
+        let service = self.services[&spec.service].clone();
         let key = service
             .once
-            .then(|| text.key.clone().unwrap_or_else(|| text.name.clone()));
-        self.ledger.asked(&text.name, key.as_deref());
+            .then(|| spec.key.clone().unwrap_or_else(|| spec.name.clone()));
+        self.history.request_offered(&spec.name, key.as_deref());
         let host = &self.hosts[node];
         if !host.up || host.stopping || node >= self.instances {
-            let stopping = Failure::new(ErrorKind::Stopping, "takes no new work");
-            self.tell_caller(&text.name, Told::Failure(stopping));
+            let stopping = Failure::new(ErrorKind::Stopping, "instance accepts no new requests");
+            self.answer_caller(&spec.name, CallerResult::Failure(stopping));
             return Ok(());
         }
-        let id = self.fresh();
-        let meta = self.meta(id, text, node);
-        let content = text.content.clone().unwrap_or_else(|| text.name.clone());
+        let id = self.next_id();
+        let meta = self.meta(id, spec, node);
+        let content = spec.content.clone().unwrap_or_else(|| spec.name.clone());
         if service.once {
-            self.open_once(id, node, text, meta, content, service.attempts);
+            self.open_once(id, node, spec, meta, content, service.attempts);
             return Ok(());
         }
-        self.open_flight(id, node, text, meta, content, service.attempts);
+        self.open_stream(id, node, spec, meta, content, service.attempts);
         Ok(())
     }
 
-    pub(super) fn tell_caller(&mut self, name: &str, told: Told) {
-        if let Told::Failure(failure) = &told {
-            let text = format!("{name}: {} (ran: {})", failure.kind, failure.ran);
-            self.note(&text);
+    pub(super) fn answer_caller(&mut self, name: &str, result: CallerResult) {
+        if let CallerResult::Failure(failure) = &result {
+            let line = format!("{name}: {} (ran: {})", failure.kind, failure.ran);
+            self.note(&line);
         }
-        self.ledger.answered(self.time, name, told);
+        self.history.answered(self.time, name, result);
     }
 }
--- a/dev/scenario/src/world/group.rs
+++ b/dev/scenario/src/world/group.rs
@@ -1,4 +1,6 @@
-//! A group of ranks in lock-step, its coordinator, and its ledger of steps.
+//! A group of ranks that run steps together, and its coordinator.
+//!
+//! Every step has to run under one expert map at all ranks; `run_step` checks it.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -12,22 +14,22 @@
 use pimentotide_model::{GroupName, Incarnation, Time};
 
 use super::call::Purpose;
-use super::parcel::Parcel;
-use super::{Item, NodeId, OUTSIDE, World};
+use super::packet::Packet;
+use super::{NodeId, OUTSIDE, SimEvent, World};
 use crate::script::Guard;
 
-/// Experts of the only layer.
-const EXPERTS: u16 = 8;
-/// Period on which machines send again.
-const TICK: Duration = Duration::from_millis(50);
-/// Time that a step takes once all ranks have started it.
-const STEP: Duration = Duration::from_millis(25);
-/// Time that the weights of a map take to load on the first rank; others take longer.
-const LOAD: Duration = Duration::from_millis(150);
+/// Number of experts in the only layer.
+const EXPERT_COUNT: u16 = 8;
+/// Interval at which ranks, leader and coordinator send again.
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
+/// Time of a step after all ranks have started it.
+const STEP_DURATION: Duration = Duration::from_millis(25);
+/// Time to load the weights of a map at rank 0; rank `n` takes `n + 1` times as long.
+const LOAD_DURATION: Duration = Duration::from_millis(150);
 /// Time without a step after which the group counts as stalled.
-const STALL: Duration = Duration::from_millis(300);
+const STALL_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// What happens at a rank.
+/// Completion of work at the ranks.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum RankEvent {
     Loaded(NodeId, u64, MapId),
@@ -39,19 +41,19 @@
     agent: RankAgent,
     leader: Option<Leader>,
     weights: BTreeSet<MapId>,
-    due: Time,
+    next_tick: Time,
 }
 
-/// The group and what its ranks ran.
+/// The group, its processes and the steps that its ranks started.
 pub(super) struct Group {
     name: GroupName,
     nodes: Vec<NodeId>,
     ranks: BTreeMap<NodeId, Rank>,
     coordinators: BTreeMap<NodeId, (Coordinator, Time)>,
     proposed: Option<ExpertMap>,
-    hot: usize,
+    hot_expert: usize,
     started: BTreeMap<(Epoch, u64), BTreeMap<u16, MapId>>,
-    last: Time,
+    last_step_at: Time,
     steps: u64,
 }
 
@@ -64,14 +66,14 @@
             ranks: BTreeMap::new(),
             coordinators: BTreeMap::new(),
             proposed: None,
-            hot: 0,
+            hot_expert: 0,
             started: BTreeMap::new(),
-            last: Time::ZERO,
+            last_step_at: Time::ZERO,
             steps: 0,
         });
     }
 
-    /// Puts the group into the log with its first map.
+    /// Proposes the group with its first map.
     pub(super) fn form_group(&mut self) {
         let Some(group) = &self.group else {
             return;
@@ -86,8 +88,8 @@
     }
 
     pub(super) fn start_rank(&mut self, node: NodeId) -> bool {
-        let due = self.local(node);
-        let incarnation = Incarnation(self.hosts[node].life);
+        let next_tick = self.local(node);
+        let incarnation = Incarnation(self.hosts[node].generation);
         let Some(group) = &mut self.group else {
             return false;
         };
@@ -101,7 +103,7 @@
             agent: RankAgent::new(number as u16, incarnation),
             leader,
             weights: BTreeSet::new(),
-            due,
+            next_tick,
         };
         group.ranks.insert(node, rank);
         true
@@ -116,8 +118,8 @@
 
     pub(super) fn rebalance(&mut self) {
         if let Some(group) = &mut self.group {
-            group.hot = (group.hot + 5) % usize::from(EXPERTS);
-            group.proposed = Some(map(group.nodes.len() as u16, group.hot));
+            group.hot_expert = (group.hot_expert + 5) % usize::from(EXPERT_COUNT);
+            group.proposed = Some(map(group.nodes.len() as u16, group.hot_expert));
         }
     }
 
@@ -127,9 +129,9 @@
             return;
         };
         if let Some(rank) = group.ranks.get_mut(&node)
-            && now >= rank.due
+            && now >= rank.next_tick
         {
-            rank.due = now + TICK;
+            rank.next_tick = now + TICK_INTERVAL;
             let leader = rank.leader.as_mut().map(Leader::tick).unwrap_or_default();
             let actions = [rank.agent.tick(), leader].concat();
             return self.rank_actions(node, actions);
@@ -137,14 +139,14 @@
         self.tick_coordinator(node, now);
     }
 
-    /// The replica that leads coordinates the group.
+    /// Runs the coordinator of the group at the leading replica.
     fn tick_coordinator(&mut self, node: NodeId, now: Time) {
         let leads = self
             .replicas
             .get(&node)
             .is_some_and(|r| r.node.leads_at(now));
         let holder = self.instance_name(node);
-        let nonce = self.fresh();
+        let nonce = self.next_id();
         let Some(group) = &mut self.group else {
             return;
         };
@@ -153,22 +155,22 @@
             return;
         }
         let name = group.name.clone();
-        let (coordinator, due) = group.coordinators.entry(node).or_insert_with(|| {
+        let (coordinator, next_tick) = group.coordinators.entry(node).or_insert_with(|| {
             let policy = SwitchPolicy {
                 staging: Duration::from_secs(4),
                 lead: 8,
             };
             (Coordinator::new(name, holder, nonce, policy), now)
         });
-        if now < *due {
+        if now < *next_tick {
             return;
         }
-        *due = now + TICK;
+        *next_tick = now + TICK_INTERVAL;
         let mut actions = coordinator.tick(now);
         if let Some(map) = group.proposed.take() {
-            let (taken, more) = coordinator.propose(map.clone(), now);
+            let (accepted, more) = coordinator.propose(map.clone(), now);
             actions.extend(more);
-            if !taken {
+            if !accepted {
                 group.proposed = Some(map);
             }
         }
@@ -238,51 +240,59 @@
     }
 
     fn rank_send(&mut self, from: NodeId, peer: Peer, message: &Message) {
-        let nodes = &self.group.as_ref().expect("a group sends").nodes;
+        let nodes = &self
+            .group
+            .as_ref()
+            .expect("a rank belongs to a group")
+            .nodes;
         let to: Vec<NodeId> = match peer {
             Peer::Coordinator => self.disks.keys().copied().collect(),
             Peer::Leader => vec![nodes[0]],
             Peer::Rank(rank) => nodes.get(usize::from(rank)).copied().into_iter().collect(),
         };
         for node in to {
-            self.send(from, node, Parcel::Ranks(peer, Box::new(message.clone())));
+            self.send(from, node, Packet::Ranks(peer, Box::new(message.clone())));
         }
     }
 
     fn load_weights(&mut self, node: NodeId, id: MapId) {
-        let life = self.hosts[node].life;
+        let generation = self.hosts[node].generation;
         let Some(rank) = self.rank_mut(node) else {
             return;
         };
-        let pause = LOAD * u32::from(rank.number + 1);
-        self.schedule(pause, Item::Rank(RankEvent::Loaded(node, life, id)));
+        let pause = LOAD_DURATION * u32::from(rank.number + 1);
+        self.schedule(
+            pause,
+            SimEvent::Rank(RankEvent::Loaded(node, generation, id)),
+        );
     }
 
-    /// A rank starts a step; all ranks have to start it under one map.
+    /// Starts a step at a rank and checks that all ranks start it under one map.
     fn run_step(&mut self, node: NodeId, epoch: Epoch, step: u64, map: MapId) {
         let mixed = self.bypasses(Guard::Maps);
-        let group = self.group.as_mut().expect("a group runs");
+        let group = self.group.as_mut().expect("a rank belongs to a group");
         let rank = &group.ranks[&node];
         let number = rank.number;
         let map = if mixed && number == 1 { MapId(1) } else { map };
         let ready = rank.weights.contains(&map);
         let size = group.nodes.len();
         let ranks = group.started.entry((epoch, step)).or_default();
-        let again = ranks.insert(number, map).is_some();
-        let one = ranks.values().all(|m| *m == map);
+        let repeated = ranks.insert(number, map).is_some();
+        let same_map = ranks.values().all(|m| *m == map);
         let complete = ranks.len() == size;
-        if !one || again || !ready && !mixed {
+        if !same_map || repeated || !ready && !mixed {
             let detail = format!("rank {number} runs step {step} under {map}");
-            self.ledger.violate(self.time, "one map a step", &detail);
+            self.history
+                .record_violation(self.time, "one map per step", &detail);
         }
         if complete {
-            self.schedule(STEP, Item::Rank(RankEvent::Done(epoch, step)));
+            self.schedule(STEP_DURATION, SimEvent::Rank(RankEvent::Done(epoch, step)));
         }
     }
 
-    /// A rank gives a step up, which then ends nowhere.
+    /// Aborts a step at one rank, so that it completes at none.
     fn abort_step(&mut self, node: NodeId, step: u64) {
-        let group = self.group.as_mut().expect("a group runs");
+        let group = self.group.as_mut().expect("a rank belongs to a group");
         let number = group.ranks[&node].number;
         let same = group.started.iter_mut().filter(|((_, s), _)| *s == step);
         same.for_each(|(_, ranks)| {
@@ -292,8 +302,8 @@
 
     pub(super) fn rank_event(&mut self, event: RankEvent) {
         match event {
-            RankEvent::Loaded(node, life, id) => {
-                if self.hosts[node].life != life {
+            RankEvent::Loaded(node, generation, id) => {
+                if self.hosts[node].generation != generation {
                     return;
                 }
                 let Some(rank) = self.rank_mut(node) else {
@@ -308,12 +318,12 @@
     }
 
     fn step_done(&mut self, epoch: Epoch, step: u64) {
-        let group = self.group.as_mut().expect("a group runs");
+        let group = self.group.as_mut().expect("a rank belongs to a group");
         let ranks = group.started.get(&(epoch, step));
         if ranks.is_none_or(|r| r.len() < group.nodes.len()) {
             return;
         }
-        group.last = self.time;
+        group.last_step_at = self.time;
         group.steps += 1;
         group
             .started
@@ -326,18 +336,24 @@
         }
     }
 
-    /// Whether every rank runs under the map decided last and steps go on.
-    pub(super) fn settled(&self, wanted: Option<u64>) -> Result<(), String> {
+    /// Checks that every rank runs under the last decided map and that steps complete.
+    ///
+    /// # Errors
+    ///
+    /// Returns the first condition that fails.
+    pub(super) fn settled(&self, expected: Option<u64>) -> Result<(), String> {
         let group = self.group.as_ref().ok_or("there is no group")?;
-        let leader = self.leader().ok_or("nobody leads")?;
+        let leader = self.leader().ok_or("no leader")?;
         let decisions = self.replicas[&leader].applier.machine().decisions();
         let state = decisions
             .group(&group.name)
             .ok_or("the group is not formed")?;
         let decided = state.decided.id;
-        let other = wanted.is_some_and(|w| decided != MapId(w));
-        if other || !state.decided.settled || state.staged.is_some() {
-            return Err(format!("{decided} is not the settled map that is wanted"));
+        let differs = expected.is_some_and(|e| decided != MapId(e));
+        if differs || !state.decided.settled || state.staged.is_some() {
+            return Err(format!(
+                "map {decided} is not settled or not the expected one"
+            ));
         }
         for node in &group.nodes {
             let active = group.ranks.get(node).and_then(|r| r.agent.status().active);
@@ -345,8 +361,8 @@
                 return Err(format!("{} runs {active:?}", self.hosts[*node].name));
             }
         }
-        if self.time.since(group.last) > STALL {
-            return Err(format!("no step since {}", group.last));
+        if self.time.since(group.last_step_at) > STALL_TIMEOUT {
+            return Err(format!("no step since {}", group.last_step_at));
         }
         Ok(())
     }
@@ -357,14 +373,14 @@
 }
 
 fn layout(ranks: u16) -> Layout {
-    let slots = EXPERTS.div_ceil(ranks) + 1;
-    Layout::uniform(1, EXPERTS, ranks, slots, 2)
+    let slots = EXPERT_COUNT.div_ceil(ranks) + 1;
+    Layout::uniform(1, EXPERT_COUNT, ranks, slots, 2)
 }
 
-fn map(ranks: u16, hot: usize) -> ExpertMap {
-    let mut weights = vec![1.0; usize::from(EXPERTS)];
-    weights[hot] = 6.0;
+fn map(ranks: u16, hot_expert: usize) -> ExpertMap {
+    let mut weights = vec![1.0; usize::from(EXPERT_COUNT)];
+    weights[hot_expert] = 6.0;
     let speeds = vec![1.0; usize::from(ranks)];
-    let demand = Demand::new(usize::from(EXPERTS), &weights, &speeds);
+    let demand = Demand::new(usize::from(EXPERT_COUNT), &weights, &speeds);
     place(&layout(ranks), &demand).expect("the layout fits")
 }
--- a/dev/scenario/src/world/history.rs
+++ b/dev/scenario/src/world/history.rs
@@ -1,4 +1,4 @@
-//! Ledger of the stand-ins: what ran, what callers were told, which rules broke.
+//! History of a run: requests that ran, results of callers and violated invariants.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,16 +7,16 @@
     AdminState, Declarations, ErrorKind, Failure, Fingerprint, Ran, Revision, Time,
 };
 
-/// Time within which an order or a leaving has to be in force everywhere.
-const IN_FORCE: Duration = Duration::from_secs(5);
+/// Time within which an order or an announced departure has to be effective everywhere.
+const PROPAGATION_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// What a caller was told.
+/// Result of a request at its caller.
 #[derive(Clone, Debug)]
-pub(super) enum Told {
+pub(super) enum CallerResult {
     Answer,
     Failure(Failure),
-    /// The entry died.
-    Nothing,
+    /// The entry stopped before it answered.
+    Lost,
 }
 
 #[derive(Clone, Debug)]
@@ -26,49 +26,49 @@
     upstream: String,
 }
 
-/// Everything that happened outside the system itself.
+/// Events seen by callers and engines, and the invariants they violated.
 #[derive(Debug, Default)]
-pub(super) struct Ledger {
+pub(super) struct History {
     pub(super) violations: Vec<String>,
-    pub(super) told: BTreeMap<String, Told>,
+    pub(super) results: BTreeMap<String, CallerResult>,
     pub(super) offered: u32,
     pub(super) crashes: u32,
     pub(super) newest: Revision,
     runs: BTreeMap<String, Vec<Run>>,
     starts: Vec<Run>,
     digests: BTreeMap<Revision, Fingerprint>,
-    outs: BTreeMap<String, Time>,
+    taken_out: BTreeMap<String, Time>,
     keys: BTreeMap<String, String>,
 }
 
-impl Ledger {
-    pub(super) fn violate(&mut self, at: Time, rule: &str, detail: &str) {
+impl History {
+    pub(super) fn record_violation(&mut self, at: Time, rule: &str, detail: &str) {
         self.violations
             .push(format!("{}: {rule}: {detail}", stamp(at)));
     }
 
-    /// A caller asks; `key` names what may run only once.
-    pub(super) fn asked(&mut self, name: &str, key: Option<&str>) {
+    /// Records a request; `key` identifies an operation that may run at most once.
+    pub(super) fn request_offered(&mut self, name: &str, key: Option<&str>) {
         self.offered += 1;
         if let Some(key) = key {
             self.keys.insert(name.to_owned(), key.to_owned());
         }
     }
 
-    /// An engine starts to run a request.
+    /// Records and checks the start of a request at an engine.
     pub(super) fn started(&mut self, at: Time, name: &str, upstream: &str, zone: &str) {
         let run = Run {
             at,
             zone: zone.to_owned(),
             upstream: upstream.to_owned(),
         };
-        self.check_out(at, name, &run);
+        self.check_taken_out(at, name, &run);
         self.starts.push(run.clone());
-        if let Some(Told::Failure(failure)) = self.told.get(name)
+        if let Some(CallerResult::Failure(failure)) = self.results.get(name)
             && failure.ran == Ran::No
         {
             let detail = format!("{name} ran at {upstream} after \"{}\"", failure.kind);
-            self.violate(at, "\"not run\" is true", &detail);
+            self.record_violation(at, "failures report whether the request ran", &detail);
         }
         let key = self.keys.get(name).cloned();
         self.runs
@@ -83,66 +83,66 @@
         }
         let count = self.run_count(&key);
         if count > 1 {
-            self.violate(at, "at most once", &format!("{key} ran {count} times"));
+            self.record_violation(at, "at most once", &format!("{key} ran {count} times"));
         }
     }
 
-    fn check_out(&mut self, at: Time, name: &str, run: &Run) {
+    fn check_taken_out(&mut self, at: Time, name: &str, run: &Run) {
         for place in [&run.zone, &run.upstream] {
-            let Some(since) = self.outs.get(place).copied() else {
+            let Some(since) = self.taken_out.get(place).copied() else {
                 continue;
             };
-            if at.since(since) > IN_FORCE {
+            if at.since(since) > PROPAGATION_TIMEOUT {
                 let detail = format!(
                     "{name} started at {} in {} {} ms after {place} was taken out",
                     run.upstream,
                     run.zone,
                     at.since(since).as_millis()
                 );
-                self.violate(at, "no new work where none may go", &detail);
+                self.record_violation(at, "no new work after being taken out", &detail);
             }
         }
     }
 
-    /// An upstream begins to leave, or has come back.
-    pub(super) fn leaving(&mut self, at: Time, upstream: &str, leaves: bool) {
-        if leaves {
-            self.outs.insert(upstream.to_owned(), at);
+    /// Records that an upstream starts to leave, or has restarted.
+    pub(super) fn leaving(&mut self, at: Time, upstream: &str, leaving: bool) {
+        if leaving {
+            self.taken_out.insert(upstream.to_owned(), at);
         } else {
-            self.outs.remove(upstream);
+            self.taken_out.remove(upstream);
         }
     }
 
-    /// An engine is given work while `running` runs there already.
-    pub(super) fn given(&mut self, at: Time, upstream: &str, running: u32, bears: u32) {
-        if running >= bears {
-            let detail = format!("{upstream} bears {bears} and was given {}", running + 1);
-            self.violate(at, "no more than an upstream bears", &detail);
+    /// Checks that an engine at `running` requests has room for another one.
+    pub(super) fn check_concurrency(&mut self, at: Time, upstream: &str, running: u32, limit: u32) {
+        if running >= limit {
+            let detail = format!("{upstream} allows {limit} and received {}", running + 1);
+            self.record_violation(at, "concurrency within the warm-up limit", &detail);
         }
     }
 
-    /// A caller is told how its request ended.
-    pub(super) fn answered(&mut self, at: Time, name: &str, told: Told) {
-        if let Told::Failure(failure) = &told
+    /// Records the result of a request; its claim about having run has to be true.
+    pub(super) fn answered(&mut self, at: Time, name: &str, result: CallerResult) {
+        if let CallerResult::Failure(failure) = &result
             && failure.ran == Ran::No
             && failure.kind != ErrorKind::KeyMismatch
             && self.ran(name)
         {
-            let detail = format!("{name} ran and was told \"{}\"", failure.kind);
-            self.violate(at, "\"not run\" is true", &detail);
+            let detail = format!("{name} ran but failed with \"{}\" (ran: no)", failure.kind);
+            self.record_violation(at, "failures report whether the request ran", &detail);
         }
-        if self.told.insert(name.to_owned(), told).is_some() {
-            self.violate(at, "one answer", &format!("{name} was answered twice"));
+        if self.results.insert(name.to_owned(), result).is_some() {
+            self.record_violation(at, "one answer", &format!("{name} was answered twice"));
         }
     }
 
-    /// A caller has the whole answer; it has to be its own.
-    pub(super) fn whole(&mut self, at: Time, name: &str, found: &[String], expected: &[String]) {
+    /// Records a complete answer, which has to belong to the request.
+    pub(super) fn complete(&mut self, at: Time, name: &str, found: &[String], expected: &[String]) {
         if found != expected {
-            let detail = format!("{name} was given {found:?} for {expected:?}");
-            self.violate(at, "whole answers", &detail);
+            let detail = format!("{name} received {found:?}, expected {expected:?}");
+            self.record_violation(at, "complete answers", &detail);
         }
-        self.answered(at, name, Told::Answer);
+        self.answered(at, name, CallerResult::Answer);
     }
 
     fn ran(&self, name: &str) -> bool {
@@ -154,14 +154,16 @@
         self.runs.get(name).map_or(0, |r| r.len() as u32)
     }
 
-    /// Says how the requests ended and where they ran.
+    /// Counts requests by result and by the upstream that ran them.
     pub(super) fn summary(&self) -> Vec<String> {
         let mut ends: BTreeMap<String, u32> = BTreeMap::new();
-        for told in self.told.values() {
-            let end = match told {
-                Told::Answer => "answered".to_owned(),
-                Told::Failure(failure) => format!("{} (ran: {})", failure.kind, failure.ran),
-                Told::Nothing => "lost with the entry".to_owned(),
+        for result in self.results.values() {
+            let end = match result {
+                CallerResult::Answer => "answered".to_owned(),
+                CallerResult::Failure(failure) => {
+                    format!("{} (ran: {})", failure.kind, failure.ran)
+                }
+                CallerResult::Lost => "lost with the entry".to_owned(),
             };
             *ends.entry(end).or_default() += 1;
         }
@@ -179,19 +181,24 @@
         lines
     }
 
-    /// Work started in a zone or at an upstream since `since`.
+    /// Counts the requests started in a zone or at an upstream since `since`.
     pub(super) fn starts_since(&self, place: &str, since: Time) -> usize {
         let here = |r: &&Run| r.at >= since && (r.zone == place || r.upstream == place);
         self.starts.iter().filter(here).count()
     }
 
-    /// A replica applied a configuration.
-    pub(super) fn in_force(&mut self, at: Time, declarations: &Declarations, digest: Fingerprint) {
+    /// Records a configuration applied by a replica; a revision has one digest at all of them.
+    pub(super) fn configuration_applied(
+        &mut self,
+        at: Time,
+        declarations: &Declarations,
+        digest: Fingerprint,
+    ) {
         let revision = declarations.revision;
-        let known = *self.digests.entry(revision).or_insert(digest);
-        if known != digest {
+        let recorded = *self.digests.entry(revision).or_insert(digest);
+        if recorded != digest {
             let detail = format!("two configurations have revision {revision}");
-            self.violate(at, "one configuration a revision", &detail);
+            self.record_violation(at, "one configuration per revision", &detail);
         }
         if revision <= self.newest {
             return;
@@ -203,25 +210,31 @@
         for (place, standing) in zones.chain(upstreams) {
             match standing {
                 AdminState::Out => {
-                    self.outs.entry(place.to_owned()).or_insert(at);
+                    self.taken_out.entry(place.to_owned()).or_insert(at);
                 }
                 AdminState::In => {
-                    self.outs.remove(place);
+                    self.taken_out.remove(place);
                 }
             }
         }
     }
 
-    /// A holder puts another configuration in force.
-    pub(super) fn held(&mut self, at: Time, who: &str, before: Revision, after: Revision) {
+    /// Checks that a watcher's revision does not decrease.
+    pub(super) fn watcher_updated(
+        &mut self,
+        at: Time,
+        who: &str,
+        before: Revision,
+        after: Revision,
+    ) {
         if after < before {
             let detail = format!("{who} went from revision {before} to {after}");
-            self.violate(at, "no configuration reverts", &detail);
+            self.record_violation(at, "no configuration reverts", &detail);
         }
     }
 }
 
-/// Seconds since the start, for people.
+/// Formats a time as seconds since the start of the run.
 pub(super) fn stamp(at: Time) -> String {
     format!("{:>9.3}", at.as_micros() as f64 / 1e6)
 }
--- a/dev/scenario/src/world/mod.rs
+++ b/dev/scenario/src/world/mod.rs
@@ -1,24 +1,25 @@
-//! Instances, upstreams, operators and callers under virtual time.
+//! Simulates instances, upstreams, operators and callers under virtual time.
 //!
-//! One step handles one event of the queue. Processes hold the machines of the
-//! decision packages; whatever is around them is a fake in this module.
+//! Events are handled one at a time in order of time and insertion. Processes
+//! run the state machines of the decision packages; clocks, disks, network and
+//! engines are fakes.
 
 mod agent;
 mod call;
 mod clock;
 mod engine;
 mod entry;
-mod flight;
+mod expectation;
 mod group;
-mod holder;
-mod judge;
-mod ledger;
+mod history;
 mod network;
 mod once;
-mod parcel;
+mod packet;
 mod perform;
 mod replica;
 mod setup;
+mod stream;
+mod watcher;
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -29,44 +30,44 @@
 use rand_chacha::ChaCha8Rng;
 
 use crate::Report;
-use crate::script::{Guard, Script, ServiceText};
+use crate::script::{Guard, Script, ServiceSpec};
 use agent::Agent;
 use call::{Call, OrderState};
 use clock::Clock;
 use engine::Engine;
 use entry::Entry;
-use flight::Flight;
 use group::{Group, RankEvent};
-use ledger::{Ledger, stamp};
+use history::{History, stamp};
 use network::Network;
-use once::Once;
-use parcel::Parcel;
+use once::OnceRequest;
+use packet::Packet;
 use replica::Replica;
+use stream::StreamRequest;
 
-/// Number of an instance or an upstream.
+/// Index into the hosts; instances precede upstreams and ranks.
 pub(super) type NodeId = usize;
 
-/// Operators and callers, who are beyond the table of links.
+/// Operators and callers, whose messages bypass the simulated network.
 pub(super) const OUTSIDE: NodeId = usize::MAX;
-/// Pause between ticks of a process.
-const TICK: Duration = Duration::from_millis(10);
+/// Interval between ticks of a process.
+const TICK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// What an instance and an upstream have in common.
+/// State common to all processes: instances, upstreams and ranks.
 pub(super) struct Host {
     name: String,
     zone: String,
     clock: Clock,
     up: bool,
-    /// Number of the present process among all of this host.
-    life: u64,
-    paused: Time,
+    /// Number of starts, which marks events of earlier processes as outdated.
+    generation: u64,
+    paused_until: Time,
     stopping: bool,
 }
 
-/// Something that happens at one time.
+/// An event of the queue.
 #[derive(Clone, Debug)]
-enum Item {
-    Deliver(NodeId, NodeId, Box<Parcel>),
+enum SimEvent {
+    Deliver(NodeId, NodeId, Box<Packet>),
     Tick(NodeId, u64),
     Disk(NodeId, u64),
     Start(NodeId),
@@ -74,7 +75,7 @@
     Rank(RankEvent),
     Agent(NodeId, u64),
     Call(u64, u32),
-    Flight(u64),
+    Stream(u64),
     Once(u64, u64, once::Timer),
     Offer {
         service: String,
@@ -83,17 +84,17 @@
     },
 }
 
-/// Everything there is.
+/// State of a simulation.
 pub(super) struct World {
     time: Time,
     rng: ChaCha8Rng,
-    queue: BTreeMap<(Time, u64), Item>,
+    queue: BTreeMap<(Time, u64), SimEvent>,
     sequence: u64,
-    next: u64,
+    last_id: u64,
     network: Network,
     hosts: Vec<Host>,
     instances: usize,
-    services: BTreeMap<String, ServiceText>,
+    services: BTreeMap<String, ServiceSpec>,
     disks: BTreeMap<NodeId, FakeDisk>,
     replicas: BTreeMap<NodeId, Replica>,
     entries: BTreeMap<NodeId, Entry>,
@@ -101,18 +102,18 @@
     engines: BTreeMap<NodeId, Engine>,
     calls: BTreeMap<u64, Call>,
     orders: BTreeMap<String, OrderState>,
-    flights: BTreeMap<u64, Flight>,
-    onces: BTreeMap<u64, Once>,
+    streams: BTreeMap<u64, StreamRequest>,
+    onces: BTreeMap<u64, OnceRequest>,
     group: Option<Group>,
     poisons: BTreeSet<String>,
     bypassed: Vec<Guard>,
-    ledger: Ledger,
+    history: History,
     trace: Vec<String>,
     offered: u32,
 }
 
 /// Runs a script.
-pub(super) fn play(script: &Script) -> Report {
+pub(super) fn run_script(script: &Script) -> Report {
     let mut world = World::new(script.seed);
     let mut failures = Vec::new();
     for step in &script.steps {
@@ -120,10 +121,10 @@
             failures.push(format!("line {}: {}: {found}", step.line, step.text));
         }
     }
-    world.trace.extend(world.ledger.summary());
+    world.trace.extend(world.history.summary());
     let steps = world.steps().map(|s| format!("steps: {s}"));
     world.trace.extend(steps);
-    failures.extend(world.ledger.violations.iter().map(|v| v.trim().to_owned()));
+    failures.extend(world.history.violations.iter().map(|v| v.trim().to_owned()));
     Report {
         trace: world.trace,
         failures,
@@ -137,7 +138,7 @@
             rng: ChaCha8Rng::seed_from_u64(seed),
             queue: BTreeMap::new(),
             sequence: 0,
-            next: 0,
+            last_id: 0,
             network: Network::default(),
             hosts: Vec::new(),
             instances: 0,
@@ -149,12 +150,12 @@
             engines: BTreeMap::new(),
             calls: BTreeMap::new(),
             orders: BTreeMap::new(),
-            flights: BTreeMap::new(),
+            streams: BTreeMap::new(),
             onces: BTreeMap::new(),
             group: None,
             poisons: BTreeSet::new(),
             bypassed: Vec::new(),
-            ledger: Ledger::default(),
+            history: History::default(),
             trace: Vec::new(),
             offered: 0,
         }
@@ -164,130 +165,134 @@
         self.trace.push(format!("{} {text}", stamp(self.time)));
     }
 
-    fn fresh(&mut self) -> u64 {
-        self.next += 1;
-        self.next
+    fn next_id(&mut self) -> u64 {
+        self.last_id += 1;
+        self.last_id
     }
 
     fn bypasses(&self, guard: Guard) -> bool {
         self.bypassed.contains(&guard)
     }
 
-    fn schedule(&mut self, after: Duration, item: Item) {
+    fn schedule(&mut self, after: Duration, event: SimEvent) {
         self.sequence += 1;
-        self.queue.insert((self.time + after, self.sequence), item);
+        self.queue.insert((self.time + after, self.sequence), event);
     }
 
     /// Runs for `span` of virtual time.
     fn run(&mut self, span: Duration) {
         let end = self.time + span;
-        while let Some(((at, _), item)) = self.queue.pop_first() {
+        while let Some(((at, _), event)) = self.queue.pop_first() {
             if at >= end {
                 self.sequence += 1;
-                self.queue.insert((at, self.sequence), item);
+                self.queue.insert((at, self.sequence), event);
                 break;
             }
             self.time = self.time.max(at);
-            self.handle(item);
+            self.handle(event);
         }
         self.time = end;
     }
 
-    fn handle(&mut self, item: Item) {
-        if let Some(until) = self.pause_of(&item) {
-            return self.schedule(until.since(self.time), item);
+    fn handle(&mut self, event: SimEvent) {
+        if let Some(until) = self.pause_of(&event) {
+            return self.schedule(until.since(self.time), event);
         }
-        match item {
-            Item::Deliver(from, to, parcel) => self.deliver(from, to, *parcel),
-            Item::Tick(node, life) => self.tick(node, life),
-            Item::Disk(node, life) => self.work_disk(node, life),
-            Item::Start(node) => self.start(node),
-            Item::Engine(node, start, run) => self.engine_step(node, start, run),
-            Item::Agent(node, life) => self.agent_back(node, life),
-            Item::Rank(event) => self.rank_event(event),
-            Item::Call(call, attempt) => self.call_late(call, attempt),
-            Item::Flight(flight) => self.place_flight(flight),
-            Item::Once(once, stage, timer) => self.once_timer(once, stage, timer),
-            Item::Offer {
+        match event {
+            SimEvent::Deliver(from, to, packet) => self.deliver(from, to, *packet),
+            SimEvent::Tick(node, generation) => self.tick(node, generation),
+            SimEvent::Disk(node, generation) => self.flush_writes(node, generation),
+            SimEvent::Start(node) => self.start(node),
+            SimEvent::Engine(node, generation, run) => self.engine_step(node, generation, run),
+            SimEvent::Agent(node, generation) => self.restart_agent(node, generation),
+            SimEvent::Rank(event) => self.rank_event(event),
+            SimEvent::Call(call, attempt) => self.call_timed_out(call, attempt),
+            SimEvent::Stream(id) => self.place_stream(id),
+            SimEvent::Once(once, stage, timer) => self.once_timer(once, stage, timer),
+            SimEvent::Offer {
                 service,
                 left,
                 pause,
-            } => self.offer(service, left, pause),
+            } => self.offer_load(service, left, pause),
         }
     }
 
-    /// Time until which the process that an item is about does nothing.
-    fn pause_of(&self, item: &Item) -> Option<Time> {
-        let node = match item {
-            Item::Deliver(_, node, _) | Item::Tick(node, _) | Item::Disk(node, _) => *node,
-            Item::Flight(flight) => self.flights.get(flight)?.entry,
-            Item::Once(once, ..) => self.onces.get(once)?.entry,
+    /// End of the pause of the process that handles an event, if it is paused.
+    fn pause_of(&self, event: &SimEvent) -> Option<Time> {
+        let node = match event {
+            SimEvent::Deliver(_, node, _) | SimEvent::Tick(node, _) | SimEvent::Disk(node, _) => {
+                *node
+            }
+            SimEvent::Stream(id) => self.streams.get(id)?.entry,
+            SimEvent::Once(once, ..) => self.onces.get(once)?.entry,
             _ => return None,
         };
-        let until = self.hosts.get(node)?.paused;
+        let until = self.hosts.get(node)?.paused_until;
         (until > self.time).then_some(until)
     }
 
-    fn send(&mut self, from: NodeId, to: NodeId, parcel: Parcel) {
+    fn send(&mut self, from: NodeId, to: NodeId, packet: Packet) {
         let times = if from == OUTSIDE || to == OUTSIDE {
             vec![Duration::from_millis(2)]
         } else {
-            self.network.pass(from, to, &mut self.rng)
+            self.network.delays(from, to, &mut self.rng)
         };
         let Some((last, copies)) = times.split_last() else {
             return;
         };
         for time in copies {
-            self.schedule(*time, Item::Deliver(from, to, Box::new(parcel.clone())));
+            self.schedule(*time, SimEvent::Deliver(from, to, Box::new(packet.clone())));
         }
-        self.schedule(*last, Item::Deliver(from, to, Box::new(parcel)));
+        self.schedule(*last, SimEvent::Deliver(from, to, Box::new(packet)));
     }
 
-    fn deliver(&mut self, from: NodeId, to: NodeId, parcel: Parcel) {
+    fn deliver(&mut self, from: NodeId, to: NodeId, packet: Packet) {
         if to != OUTSIDE && !self.hosts[to].up {
-            return self.refuse_connection(from, to, parcel);
+            return self.refuse_connection(from, to, packet);
         }
-        match parcel {
-            Parcel::Consensus(envelope) => self.consensus(to, *envelope),
-            Parcel::ReadAsk(token) => self.read_asked(from, to, token),
-            Parcel::ReadDone(token, index) => self.read_done(to, token, index),
-            Parcel::WatchAsk(session, request) => self.watch_asked(from, to, session, *request),
-            Parcel::WatchDone(session, answer) => self.watch_done(to, session, answer),
-            Parcel::Report(rank, report) => self.reported(from, to, rank, *report),
-            Parcel::Heard(rank, heard) => self.heard(from, to, rank, heard),
-            Parcel::Load(report, epoch) => self.loaded(from, to, &report, epoch),
-            Parcel::Propose(call, command) => self.proposed(from, to, call, &command),
-            Parcel::Proposed(call, result) => self.call_answered(to, call, result),
-            Parcel::Work(work) => self.work(from, to, *work),
-            Parcel::Answer(flight, attempt, answer) => {
-                self.work_answered(from, flight, attempt, answer);
+        match packet {
+            Packet::Consensus(envelope) => self.consensus_received(to, *envelope),
+            Packet::ReadRequest(token) => self.read_requested(from, to, token),
+            Packet::ReadResponse(token, index) => self.read_answered(to, token, index),
+            Packet::WatchRequest(session, request) => {
+                self.watch_requested(from, to, session, *request);
+            }
+            Packet::WatchResponse(session, answer) => self.watch_answered(to, session, answer),
+            Packet::Report(rank, report) => self.report_received(from, to, rank, *report),
+            Packet::ReportAnswer(rank, answer) => self.report_answered(from, to, rank, answer),
+            Packet::Load(report, epoch) => self.load_reported(from, to, &report, epoch),
+            Packet::Propose(call, command) => self.proposal_received(from, to, call, &command),
+            Packet::Proposed(call, result) => self.call_answered(to, call, result),
+            Packet::Work(work) => self.work_received(from, to, *work),
+            Packet::Answer(request, attempt, answer) => {
+                self.work_answered(from, request, attempt, answer);
             }
-            Parcel::Inquire(once, stage, held, place) => {
-                self.inquired(from, to, (once, stage), &held, &place);
+            Packet::Inquire(once, stage, held, place) => {
+                self.inquiry_received(from, to, (once, stage), &held, &place);
             }
-            Parcel::Ranks(peer, message) => self.rank_message(to, peer, *message),
-            Parcel::Found(once, stage, finding) => self.found(once, stage, finding),
+            Packet::Ranks(peer, message) => self.rank_message(to, peer, *message),
+            Packet::Found(once, stage, finding) => self.finding_received(once, stage, finding),
         }
     }
 
-    /// The instance is there but nothing listens on it.
-    fn refuse_connection(&mut self, from: NodeId, to: NodeId, parcel: Parcel) {
-        if let Parcel::Work(work) = parcel {
-            let answer = parcel::WorkAnswer::Unsent;
-            self.send(to, from, Parcel::Answer(work.flight, work.attempt, answer));
+    /// Answers for a host on which no process listens.
+    fn refuse_connection(&mut self, from: NodeId, to: NodeId, packet: Packet) {
+        if let Packet::Work(work) = packet {
+            let answer = packet::WorkAnswer::Unsent;
+            self.send(to, from, Packet::Answer(work.request, work.attempt, answer));
         }
     }
 
-    fn tick(&mut self, node: NodeId, life: u64) {
-        if !self.hosts[node].up || self.hosts[node].life != life {
+    fn tick(&mut self, node: NodeId, generation: u64) {
+        if !self.hosts[node].up || self.hosts[node].generation != generation {
             return;
         }
         self.tick_replica(node);
         self.tick_entry(node);
         self.tick_agent(node);
         self.tick_group(node);
-        if self.hosts[node].up && self.hosts[node].life == life {
-            self.schedule(TICK, Item::Tick(node, life));
+        if self.hosts[node].up && self.hosts[node].generation == generation {
+            self.schedule(TICK_INTERVAL, SimEvent::Tick(node, generation));
         }
     }
 
--- a/dev/scenario/src/world/network.rs
+++ b/dev/scenario/src/world/network.rs
@@ -1,4 +1,4 @@
-//! Links between processes, and what becomes of messages.
+//! Simulated network: cut links, loss, duplication, reordering and delay.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -8,16 +8,16 @@
 
 use super::NodeId;
 
-/// Longest time that a message out of order takes, microseconds.
-const LATE: u64 = 1_500_000;
+/// Maximum extra delay of a reordered message, in microseconds.
+const MAX_REORDER_DELAY_MICROS: u64 = 1_500_000;
 
-/// Table of links.
+/// Cut links and fault rates; the rates apply to every link.
 #[derive(Clone, Debug)]
 pub(super) struct Network {
     blocked: BTreeSet<(NodeId, NodeId)>,
     pub(super) loss: f64,
     pub(super) duplicates: f64,
-    pub(super) late: f64,
+    pub(super) reorder: f64,
     pub(super) delay: (Duration, Duration),
 }
 
@@ -27,7 +27,7 @@
             blocked: BTreeSet::new(),
             loss: 0.0,
             duplicates: 0.0,
-            late: 0.0,
+            reorder: 0.0,
             delay: (Duration::from_micros(400), Duration::from_micros(900)),
         }
     }
@@ -46,8 +46,8 @@
         *self = Self::default();
     }
 
-    /// Times that a message takes to arrive, one for each copy.
-    pub(super) fn pass(&self, from: NodeId, to: NodeId, rng: &mut ChaCha8Rng) -> Vec<Duration> {
+    /// Draws the delay of each copy of a message; empty if the message is lost.
+    pub(super) fn delays(&self, from: NodeId, to: NodeId, rng: &mut ChaCha8Rng) -> Vec<Duration> {
         if from == to {
             return vec![Duration::ZERO];
         }
@@ -55,14 +55,14 @@
             return Vec::new();
         }
         let copies = 1 + usize::from(rng.random_bool(self.duplicates));
-        (0..copies).map(|_| self.take(rng)).collect()
+        (0..copies).map(|_| self.draw_delay(rng)).collect()
     }
 
-    fn take(&self, rng: &mut ChaCha8Rng) -> Duration {
-        let (least, most) = self.delay;
-        let usual = rng.random_range(least.as_micros() as u64..=most.as_micros() as u64);
-        if rng.random_bool(self.late) {
-            return Duration::from_micros(usual + rng.random_range(0..LATE));
+    fn draw_delay(&self, rng: &mut ChaCha8Rng) -> Duration {
+        let (min, max) = self.delay;
+        let usual = rng.random_range(min.as_micros() as u64..=max.as_micros() as u64);
+        if rng.random_bool(self.reorder) {
+            return Duration::from_micros(usual + rng.random_range(0..MAX_REORDER_DELAY_MICROS));
         }
         Duration::from_micros(usual)
     }
--- a/dev/scenario/src/world/once.rs
+++ b/dev/scenario/src/world/once.rs
@@ -1,4 +1,4 @@
-//! Requests that run at most once: the shell around an attempt.
+//! Requests that run at most once: executes the actions of the attempt's state machine.
 
 use std::time::Duration;
 
@@ -12,17 +12,17 @@
 
 use super::call::Purpose;
 use super::engine::answer_to;
-use super::ledger::Told;
-use super::parcel::{Parcel, Work, WorkAnswer};
-use super::{Item, NodeId, World};
-use crate::script::RequestText;
+use super::history::CallerResult;
+use super::packet::{Packet, Work, WorkAnswer};
+use super::{NodeId, SimEvent, World};
+use crate::script::RequestSpec;
 
-/// Pause before a request that found no room is placed again.
-const ROOM_PAUSE: Duration = Duration::from_millis(20);
-/// Time that an agent has to answer an inquiry.
-const INQUIRY: Duration = Duration::from_millis(500);
+/// Delay before placement is retried.
+const PLACEMENT_RETRY_DELAY: Duration = Duration::from_millis(20);
+/// Time to wait for the answer to an inquiry.
+const INQUIRY_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// What an attempt waits for.
+/// Timed step of an attempt.
 #[derive(Clone, Debug)]
 pub(super) enum Timer {
     Choose,
@@ -32,23 +32,23 @@
     Deadline,
 }
 
-/// A non-idempotent request on its way.
-pub(super) struct Once {
+/// An in-flight request that is not idempotent.
+pub(super) struct OnceRequest {
     pub(super) entry: NodeId,
     name: String,
     content: String,
     meta: RequestMeta,
     attempt: Attempt,
-    /// Rises with each action that is waited for; older answers are dropped.
+    /// Increases with each action that expects an answer; answers to earlier stages are dropped.
     stage: u64,
     sends: u32,
     sending: bool,
     tried: Vec<UpstreamName>,
-    booking: Option<Ticket>,
+    ticket: Option<Ticket>,
     answered: bool,
 }
 
-impl Once {
+impl OnceRequest {
     pub(super) fn is_answered(&self) -> bool {
         self.answered
     }
@@ -59,7 +59,7 @@
         &mut self,
         id: u64,
         entry: NodeId,
-        text: &RequestText,
+        spec: &RequestSpec,
         meta: RequestMeta,
         content: String,
         attempts: u32,
@@ -77,9 +77,9 @@
         };
         let (attempt, actions) = Attempt::open(intent);
         let deadline = meta.deadline.since(self.local(entry));
-        let once = Once {
+        let once = OnceRequest {
             entry,
-            name: text.name.clone(),
+            name: spec.name.clone(),
             content,
             meta,
             attempt,
@@ -87,11 +87,11 @@
             sends: 0,
             sending: false,
             tried: Vec::new(),
-            booking: None,
+            ticket: None,
             answered: false,
         };
         self.onces.insert(id, once);
-        self.schedule(deadline, Item::Once(id, 0, Timer::Deadline));
+        self.schedule(deadline, SimEvent::Once(id, 0, Timer::Deadline));
         self.once_actions(id, actions);
     }
 
@@ -121,11 +121,14 @@
             match action {
                 Action::Choose { .. } => self.choose(id),
                 Action::Propose { command, after } => {
-                    self.schedule(after, Item::Once(id, stage, Timer::Propose(command)));
+                    self.schedule(after, SimEvent::Once(id, stage, Timer::Propose(command)));
                 }
                 Action::Send { held, place } => self.send_once(id, held, place),
                 Action::Inquire { held, place, after } => {
-                    self.schedule(after, Item::Once(id, stage, Timer::Inquire(held, place)));
+                    self.schedule(
+                        after,
+                        SimEvent::Once(id, stage, Timer::Inquire(held, place)),
+                    );
                 }
                 Action::Answer(answer) => self.answer_once(id, answer),
                 Action::Finish => {}
@@ -149,9 +152,12 @@
             }
             Timer::Inquire(held, place) => {
                 if let Some(to) = self.node(place.upstream.as_str()) {
-                    self.send(entry, to, Parcel::Inquire(id, stage, held, place.clone()));
+                    self.send(entry, to, Packet::Inquire(id, stage, held, place.clone()));
                 }
-                self.schedule(INQUIRY, Item::Once(id, stage, Timer::Unreachable(place)));
+                self.schedule(
+                    INQUIRY_TIMEOUT,
+                    SimEvent::Once(id, stage, Timer::Unreachable(place)),
+                );
             }
             Timer::Unreachable(place) => {
                 let gone = self.is_gone(entry, &place);
@@ -168,10 +174,10 @@
         }
     }
 
-    /// Whether the directory or the agent's own reports say that a memory is gone.
+    /// Whether the directory or the agent's reports show that the ledger with the claim is gone.
     fn is_gone(&self, entry: NodeId, place: &Place) -> bool {
         let entry = &self.entries[&entry];
-        let listed = entry.holder.view.get(&place.upstream).is_some();
+        let listed = entry.watcher.view.get(&place.upstream).is_some();
         let epoch = entry.epochs.get(&place.upstream);
         !listed || epoch.is_some_and(|e| *e > place.epoch)
     }
@@ -185,28 +191,31 @@
         let entry = self
             .entries
             .get_mut(&node)
-            .expect("attempts end with their entry");
+            .expect("an attempt ends with its entry");
         let placed = entry
             .placer
             .place(&once.meta, &once.tried, now, &mut self.rng);
         match placed {
             Placement::Chosen(decision) => {
                 let upstream = decision.upstream;
-                let incarnation = entry.holder.view.get(&upstream).map(|a| a.incarnation);
+                let incarnation = entry.watcher.view.get(&upstream).map(|a| a.incarnation);
                 let place = Place {
                     incarnation: incarnation.unwrap_or_default(),
                     epoch: entry.epochs.get(&upstream).copied().unwrap_or_default(),
                     upstream: upstream.clone(),
                 };
-                let once = self.onces.get_mut(&id).expect("the attempt is there");
-                once.booking = Some(decision.ticket);
+                let once = self.onces.get_mut(&id).expect("the attempt is open");
+                once.ticket = Some(decision.ticket);
                 once.tried.push(upstream);
                 self.once_event(id, Event::Chosen(place));
             }
             Placement::Wait(_) => {
-                let once = self.onces.get_mut(&id).expect("the attempt is there");
+                let once = self.onces.get_mut(&id).expect("the attempt is open");
                 once.tried.clear();
-                self.schedule(ROOM_PAUSE, Item::Once(id, stage, Timer::Choose));
+                self.schedule(
+                    PLACEMENT_RETRY_DELAY,
+                    SimEvent::Once(id, stage, Timer::Choose),
+                );
             }
             Placement::Refused(failure) => self.once_event(id, Event::NoPlace(failure)),
         }
@@ -218,14 +227,14 @@
     }
 
     fn send_once(&mut self, id: u64, held: ClaimRef, place: Place) {
-        let once = self.onces.get_mut(&id).expect("the attempt is there");
+        let once = self.onces.get_mut(&id).expect("the attempt is open");
         once.sends += 1;
         once.sending = true;
         let (node, attempt) = (once.entry, once.sends);
         let (name, content) = (once.name.clone(), once.content.clone());
         let meta = once.meta.clone();
         let work = Work {
-            flight: id,
+            request: id,
             attempt,
             name,
             content,
@@ -234,23 +243,23 @@
             claim: Some((held, place.clone())),
         };
         if let Some(to) = self.node(place.upstream.as_str()) {
-            self.send(node, to, Parcel::Work(Box::new(work)));
+            self.send(node, to, Packet::Work(Box::new(work)));
         }
         self.schedule(
-            Self::longest_pause(),
-            Item::Once(id, self.onces[&id].stage, Timer::Unreachable(place)),
+            Self::piece_timeout(),
+            SimEvent::Once(id, self.onces[&id].stage, Timer::Unreachable(place)),
         );
     }
 
     pub(super) fn once_answered(&mut self, id: u64, attempt: u32, answer: WorkAnswer) {
-        let once = self.onces.get_mut(&id).expect("the attempt is there");
+        let once = self.onces.get_mut(&id).expect("the attempt is open");
         if !once.sending || once.sends != attempt {
             return;
         }
         once.sending = false;
         once.stage += 1;
         let good = matches!(answer, WorkAnswer::Finished(_));
-        self.unbook_once(
+        self.release_once_ticket(
             id,
             if good {
                 AttemptOutcome::Good
@@ -267,43 +276,42 @@
         self.once_event(id, event);
     }
 
-    fn unbook_once(&mut self, id: u64, verdict: AttemptOutcome) {
+    fn release_once_ticket(&mut self, id: u64, outcome: AttemptOutcome) {
         let Some(once) = self.onces.get_mut(&id) else {
             return;
         };
         let now = self.hosts[once.entry].clock.local(self.time);
         let done = Finished {
-            outcome: verdict,
+            outcome,
             first_token: None,
             total: Duration::from_millis(1),
             tokens: 0,
             cached: None,
         };
-        if let (Some(ticket), Some(entry)) =
-            (once.booking.take(), self.entries.get_mut(&once.entry))
+        if let (Some(ticket), Some(entry)) = (once.ticket.take(), self.entries.get_mut(&once.entry))
         {
             entry.placer.finish(ticket, &once.meta, &done, now);
         }
     }
 
-    pub(super) fn found(&mut self, id: u64, stage: u64, finding: Finding) {
+    pub(super) fn finding_received(&mut self, id: u64, stage: u64, finding: Finding) {
         if self.onces.get(&id).is_some_and(|o| o.stage == stage) {
             self.once_event(id, Event::Found(finding));
         }
     }
 
     fn answer_once(&mut self, id: u64, answer: Answer) {
-        self.unbook_once(id, AttemptOutcome::Cancelled);
-        let once = self.onces.get_mut(&id).expect("the attempt is there");
+        self.release_once_ticket(id, AttemptOutcome::Cancelled);
+        let once = self.onces.get_mut(&id).expect("the attempt is open");
         once.answered = true;
         let (name, content) = (once.name.clone(), once.content.clone());
         match answer {
             Answer::Outcome(outcome) => {
                 let found = body_of(&outcome);
                 let expected = answer_to(&content);
-                self.ledger.whole(self.time, &name, &found, &expected);
+                self.history.complete(self.time, &name, &found, &expected);
             }
-            Answer::Failure(failure) => self.tell_caller(&name, Told::Failure(failure)),
+            Answer::Failure(failure) => self.answer_caller(&name, CallerResult::Failure(failure)),
         }
     }
 
@@ -317,7 +325,7 @@
         for id in onces {
             let once = self.onces.remove(&id).expect("it was listed");
             if !once.answered {
-                self.tell_caller(&once.name, Told::Nothing);
+                self.answer_caller(&once.name, CallerResult::Lost);
             }
         }
     }
--- a/dev/scenario/src/world/packet.rs
+++ b/dev/scenario/src/world/packet.rs
@@ -1,4 +1,4 @@
-//! What travels between processes.
+//! Messages between processes.
 
 use pimentotide_consensus::{Envelope, Index};
 use pimentotide_control::currency::{WatchAnswer, WatchRequest};
@@ -11,16 +11,16 @@
 
 use super::NodeId;
 
-/// One message.
+/// A message; numbers identify the call, session or request that it belongs to.
 #[derive(Clone, Debug)]
-pub(super) enum Parcel {
+pub(super) enum Packet {
     Consensus(Box<Envelope>),
-    ReadAsk(u64),
-    ReadDone(u64, Option<Index>),
-    WatchAsk(u64, Box<WatchRequest>),
-    WatchDone(u64, Option<Box<WatchAnswer>>),
+    ReadRequest(u64),
+    ReadResponse(u64, Option<Index>),
+    WatchRequest(u64, Box<WatchRequest>),
+    WatchResponse(u64, Option<Box<WatchAnswer>>),
     Report((Incarnation, u64), Box<Report>),
-    Heard((Incarnation, u64), ReportAnswer),
+    ReportAnswer((Incarnation, u64), ReportAnswer),
     Load(LoadReport, LedgerEpoch),
     Propose(u64, Box<Command>),
     Proposed(u64, Proposed),
@@ -31,20 +31,20 @@
     Ranks(Peer, Box<Message>),
 }
 
-/// What became of a proposal at one replica.
+/// Result of a proposal at one replica.
 #[derive(Clone, Debug)]
 pub(super) enum Proposed {
     Applied(Response),
-    /// It has no effect; this replica leads, as far as known.
+    /// The proposal has no effect; names the leader if the replica has one.
     Rejected(Option<NodeId>),
-    /// It may have an effect.
+    /// The proposal may have taken effect.
     Unknown,
 }
 
-/// One send of a request to an agent.
+/// One attempt of a request, sent to an agent.
 #[derive(Clone, Debug)]
 pub(super) struct Work {
-    pub(super) flight: u64,
+    pub(super) request: u64,
     pub(super) attempt: u32,
     pub(super) name: String,
     pub(super) content: String,
@@ -53,17 +53,17 @@
     pub(super) claim: Option<(ClaimRef, Place)>,
 }
 
-/// What an agent answers to a send.
+/// Answer of an agent to an attempt.
 #[derive(Clone, Debug)]
 pub(super) enum WorkAnswer {
     Refused(Box<Refusal>),
     NotRun(NotRun),
     Piece(Piece<String>),
-    /// Answer of a request that runs once, whole.
+    /// Complete answer of a request that runs at most once.
     Finished(std::sync::Arc<pimentotide_outcome::Outcome>),
-    /// The engine died while it ran the request.
-    Died(Incarnation),
-    /// No process listened, so nothing was sent.
+    /// The engine crashed while it ran the request.
+    EngineCrashed(Incarnation),
+    /// The connection was refused, so nothing was sent.
     Unsent,
     /// The connection broke.
     Reset,
--- a/dev/scenario/src/world/perform.rs
+++ b/dev/scenario/src/world/perform.rs
@@ -1,18 +1,22 @@
-//! What each statement does.
+//! Executes the statements of a script.
 
 use std::time::Duration;
 
 use pimentotide_storage::fake::Fault;
 
-use super::{Item, NodeId, World};
-use crate::script::{DiskFault, Link, RequestText, Statement, Step};
+use super::{NodeId, SimEvent, World};
+use crate::script::{DiskFault, Link, RequestSpec, Statement, Step};
 
 impl World {
-    /// Carries a statement out.
+    /// Executes a statement.
+    ///
+    /// # Errors
+    ///
+    /// Fails if an expectation is not met or a name does not fit the statement.
     pub(super) fn perform(&mut self, step: &Step) -> Result<(), String> {
-        let begun = self.hosts.iter().any(|h| h.life > 0);
-        let silent = matches!(step.statement, Statement::Wait(_) | Statement::Begin);
-        if begun && !silent {
+        let begun = self.hosts.iter().any(|h| h.generation > 0);
+        let untraced = matches!(step.statement, Statement::Wait(_) | Statement::Begin);
+        if begun && !untraced {
             self.note(&step.text);
         }
         match &step.statement {
@@ -22,55 +26,55 @@
                 self.instances = self.hosts.len();
                 Ok(())
             }
-            Statement::Upstream(text) => {
-                self.add_upstream(text);
+            Statement::Upstream(spec) => {
+                self.add_upstream(spec);
                 Ok(())
             }
             Statement::Group { name, zone, ranks } => {
                 self.add_group(name, zone, *ranks);
                 Ok(())
             }
-            Statement::Service(text) => {
-                self.services.insert(text.name.clone(), text.clone());
+            Statement::Service(spec) => {
+                self.services.insert(spec.name.clone(), spec.clone());
                 Ok(())
             }
             Statement::Begin => self.begin(),
-            Statement::Expect(expect) => self.judge(expect),
-            other => self.act(other),
+            Statement::Expect(expect) => self.check_expectation(expect),
+            other => self.execute(other),
         }
     }
 
-    fn act(&mut self, statement: &Statement) -> Result<(), String> {
+    fn execute(&mut self, statement: &Statement) -> Result<(), String> {
         match statement {
             Statement::Wait(span) => self.run(*span),
             Statement::Start(name) => self.start(self.named(name)?),
-            Statement::Stop(name) => self.stop(self.whole(name)?),
+            Statement::Stop(name) => self.stop(self.instance_or_upstream(name)?),
             Statement::Kill(name) => self.kill(self.named(name)?),
             Statement::KillAgent(name) => {
-                let node = self.whole(name)?;
+                let node = self.instance_or_upstream(name)?;
                 self.kill_agent(node);
             }
             Statement::Pause(name, span) => {
                 let node = self.named(name)?;
-                self.hosts[node].paused = self.time + *span;
+                self.hosts[node].paused_until = self.time + *span;
             }
-            Statement::Cold(name) => self.turn_cold(self.whole(name)?),
-            Statement::Cut(link) => self.links(link, true)?,
-            Statement::Heal(Some(link)) => self.links(link, false)?,
+            Statement::Cold(name) => self.restart_cold(self.instance_or_upstream(name)?),
+            Statement::Cut(link) => self.set_links(link, true)?,
+            Statement::Heal(Some(link)) => self.set_links(link, false)?,
             Statement::Heal(None) => self.network.heal_all(),
             Statement::Lose(share) => self.network.loss = *share,
             Statement::Duplicate(share) => self.network.duplicates = *share,
-            Statement::Reorder(share) => self.network.late = *share,
-            Statement::Delay(least, most) => self.network.delay = (*least, *least.max(most)),
+            Statement::Reorder(share) => self.network.reorder = *share,
+            Statement::Delay(min, max) => self.network.delay = (*min, *min.max(max)),
             Statement::Disk(name, fault) => self.fail_disk(name, *fault)?,
             Statement::Clock(name, by) => {
                 let node = self.named(name)?;
                 self.hosts[node].clock.step(*by);
             }
-            Statement::Order(text) => self.order(text)?,
+            Statement::Order(spec) => self.order(spec)?,
             Statement::Resend(id, via) => self.resend(id, via.as_deref())?,
             Statement::Flood(count) => self.flood(*count),
-            Statement::Request(text) => self.ask(text)?,
+            Statement::Request(spec) => self.send_request(spec)?,
             Statement::Load {
                 service,
                 rate,
@@ -78,7 +82,7 @@
             } => {
                 let left = (u64::from(*rate) * span.as_millis() as u64 / 1_000) as u32;
                 let pause = Duration::from_secs(1) / *rate;
-                self.offer(service.clone(), left, pause);
+                self.offer_load(service.clone(), left, pause);
             }
             Statement::Poison(content) => {
                 self.poisons.insert(content.clone());
@@ -95,8 +99,8 @@
             .ok_or_else(|| format!("no node is called {name:?}"))
     }
 
-    /// A node that is no rank of a group.
-    fn whole(&self, name: &str) -> Result<NodeId, String> {
+    /// Returns an instance or an upstream, but not a rank of a group.
+    fn instance_or_upstream(&self, name: &str) -> Result<NodeId, String> {
         let node = self.named(name)?;
         if node < self.instances || self.engines.contains_key(&node) {
             return Ok(node);
@@ -104,7 +108,7 @@
         Err("a rank can only be killed, started, paused or cut off".to_owned())
     }
 
-    fn links(&mut self, link: &Link, cut: bool) -> Result<(), String> {
+    fn set_links(&mut self, link: &Link, cut: bool) -> Result<(), String> {
         let all: Vec<NodeId> = (0..self.hosts.len()).collect();
         let ends = |world: &Self, name: &Option<String>| match name {
             Some(name) => world.named(name).map(|n| vec![n]),
@@ -137,14 +141,14 @@
             DiskFault::Lost => {
                 self.kill(node);
                 disk.wipe();
-                self.schedule(Duration::from_millis(50), Item::Start(node));
+                self.schedule(Duration::from_millis(50), SimEvent::Start(node));
             }
         }
         Ok(())
     }
 
-    /// Offers one request of a load and schedules the next, whatever becomes of it.
-    pub(super) fn offer(&mut self, service: String, left: u32, pause: Duration) {
+    /// Sends one request of a load and schedules the next, whether or not it is answered.
+    pub(super) fn offer_load(&mut self, service: String, left: u32, pause: Duration) {
         if left == 0 {
             return;
         }
@@ -152,19 +156,19 @@
         let entries: Vec<NodeId> = (0..self.instances).filter(up).collect();
         self.offered += 1;
         if let Some(node) = entries.get(self.offered as usize % entries.len().max(1)) {
-            let text = RequestText {
+            let spec = RequestSpec {
                 name: format!("{service}-{}", self.offered),
                 service: service.clone(),
                 via: self.hosts[*node].name.clone(),
                 key: None,
                 content: None,
             };
-            let _ = self.ask(&text);
+            let _ = self.send_request(&spec);
         }
         let left = left - 1;
         self.schedule(
             pause,
-            Item::Offer {
+            SimEvent::Offer {
                 service,
                 left,
                 pause,
--- a/dev/scenario/src/world/replica.rs
+++ b/dev/scenario/src/world/replica.rs
@@ -1,4 +1,4 @@
-//! Control replicas: node, disk, machine and registry.
+//! Control replicas: consensus node, storage, state machine and registry.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -16,18 +16,18 @@
 use pimentotide_storage::fake::FakeDisk;
 use rand::RngExt;
 
-use super::parcel::{Parcel, Proposed};
-use super::{Item, NodeId, World};
+use super::packet::{Packet, Proposed};
+use super::{NodeId, SimEvent, World};
 use crate::script::Guard;
 
-/// Small segments, so that many are started and removed.
+/// Small, so that a run creates and removes many segments.
 const SEGMENT_BYTES: u64 = 16 << 10;
-/// Entries after which the log is compacted.
-const COMPACT: u64 = 64;
-/// Ticks between two looks at the members.
-const MEND_TICKS: u64 = 10;
+/// Applied entries after which the log is compacted.
+const COMPACTION_ENTRIES: u64 = 64;
+/// Ticks between checks of the membership.
+const MEMBERSHIP_CHECK_TICKS: u64 = 10;
 
-/// Who waits for a confirmation.
+/// Originator of a linearizable read.
 #[derive(Clone, Debug)]
 pub(super) enum Reader {
     Watch {
@@ -42,14 +42,14 @@
     },
 }
 
-/// A running replica.
+/// State of a running replica.
 pub(super) struct Replica {
     pub(super) node: Node,
     pub(super) applier: Applier<Machine>,
     pub(super) registry: Registry,
     storage: Storage<FakeDisk>,
     writes: VecDeque<Write>,
-    held: Vec<(Ticket, Envelope)>,
+    unsynced: Vec<(Ticket, Envelope)>,
     synced: Ticket,
     callers: BTreeMap<ProposalId, (NodeId, u64)>,
     reads: BTreeMap<ProposalId, Reader>,
@@ -59,7 +59,7 @@
 }
 
 impl World {
-    /// Starts the replica of an instance that has a disk; false if the disk does not open.
+    /// Starts the replica of an instance that has a disk; returns false if the disk fails to open.
     pub(super) fn start_replica(&mut self, node: NodeId) -> bool {
         let Some(disk) = self.disks.get(&node).cloned() else {
             return true;
@@ -80,7 +80,7 @@
             registry: Registry::new(self.rng.random(), at.now),
             storage: opened.storage,
             writes: VecDeque::new(),
-            held: Vec::new(),
+            unsynced: Vec::new(),
             synced: Ticket(0),
             callers: BTreeMap::new(),
             reads: BTreeMap::new(),
@@ -89,7 +89,7 @@
             ticks: 0,
         };
         self.replicas.insert(node, replica);
-        self.carry_out(node, actions);
+        self.execute_actions(node, actions);
         true
     }
 
@@ -100,25 +100,25 @@
         };
         replica.registry.expire(now);
         replica.ticks += 1;
-        self.tell(node, Event::Tick);
-        self.mend_members(node);
+        self.step_replica(node, Event::Tick);
+        self.reconcile_members(node);
     }
 
-    /// Hands an event to a replica.
-    pub(super) fn tell(&mut self, node: NodeId, event: Event) {
+    /// Steps the consensus node of a replica and executes its actions.
+    pub(super) fn step_replica(&mut self, node: NodeId, event: Event) {
         let at = self.hosts[node].clock.moment(self.time);
         let Some(replica) = self.replicas.get_mut(&node) else {
             return;
         };
         let actions = replica.node.step(event, at);
-        self.carry_out(node, actions);
+        self.execute_actions(node, actions);
     }
 
-    pub(super) fn consensus(&mut self, node: NodeId, envelope: Envelope) {
-        self.tell(node, Event::Receive(envelope));
+    pub(super) fn consensus_received(&mut self, node: NodeId, envelope: Envelope) {
+        self.step_replica(node, Event::Receive(envelope));
     }
 
-    fn carry_out(&mut self, node: NodeId, actions: Vec<Action>) {
+    fn execute_actions(&mut self, node: NodeId, actions: Vec<Action>) {
         for action in actions {
             let Some(replica) = self.replicas.get_mut(&node) else {
                 return;
@@ -126,22 +126,22 @@
             match action {
                 Action::Write(write) => {
                     replica.writes.push_back(write);
-                    let life = self.hosts[node].life;
+                    let generation = self.hosts[node].generation;
                     let pause = Duration::from_micros(self.rng.random_range(100..2_000));
-                    self.schedule(pause, Item::Disk(node, life));
+                    self.schedule(pause, SimEvent::Disk(node, generation));
                 }
                 Action::Send { after, envelope } if after > replica.synced => {
-                    replica.held.push((after, envelope));
+                    replica.unsynced.push((after, envelope));
                 }
                 Action::Send { envelope, .. } => self.transmit(node, envelope),
                 Action::Apply(entry) => self.apply(node, &entry),
                 Action::Restore(snapshot) => {
                     let last = snapshot.meta.last.index;
-                    let jumped = replica
+                    let skipped = replica
                         .applier
                         .restore(last, &snapshot.data)
-                        .expect("a snapshot of the machine is read");
-                    for (id, _) in jumped {
+                        .expect("a snapshot of the machine is decoded");
+                    for (id, _) in skipped {
                         self.answer_call(node, id, Proposed::Unknown);
                     }
                     self.check_state(node);
@@ -164,13 +164,13 @@
 
     fn transmit(&mut self, from: NodeId, envelope: Envelope) {
         if let Some(to) = self.node(envelope.to.name.as_str()) {
-            self.send(from, to, Parcel::Consensus(Box::new(envelope)));
+            self.send(from, to, Packet::Consensus(Box::new(envelope)));
         }
     }
 
-    /// Writes all that waits as one group and reports it.
-    pub(super) fn work_disk(&mut self, node: NodeId, life: u64) {
-        if self.hosts[node].life != life {
+    /// Writes all queued writes as one batch, then sends the messages that waited for it.
+    pub(super) fn flush_writes(&mut self, node: NodeId, generation: u64) {
+        if self.hosts[node].generation != generation {
             return;
         }
         let Some(replica) = self.replicas.get_mut(&node) else {
@@ -183,26 +183,28 @@
         match replica.storage.write(&writes) {
             Ok(ticket) => {
                 replica.synced = ticket;
-                let held = std::mem::take(&mut replica.held);
-                let (ready, held) = held.into_iter().partition(|(after, _)| *after <= ticket);
-                replica.held = held;
+                let unsynced = std::mem::take(&mut replica.unsynced);
+                let (ready, unsynced) = unsynced
+                    .into_iter()
+                    .partition(|(after, _)| *after <= ticket);
+                replica.unsynced = unsynced;
                 let ready: Vec<(Ticket, Envelope)> = ready;
                 for (_, envelope) in ready {
                     self.transmit(node, envelope);
                 }
-                self.tell(node, Event::Synced(ticket));
+                self.step_replica(node, Event::Synced(ticket));
             }
             Err(_) if self.disks[&node].is_crashed() => {
-                let text = format!("{} died in the middle of a write", self.hosts[node].name);
+                let text = format!("{} crashed during a write", self.hosts[node].name);
                 self.note(&text);
                 self.kill(node);
-                self.schedule(Duration::from_millis(200), Item::Start(node));
+                self.schedule(Duration::from_millis(200), SimEvent::Start(node));
             }
             Err(error) => {
                 let text = format!("{}: the disk failed: {error}", self.hosts[node].name);
                 self.note(&text);
-                replica_clear(self.replicas.get_mut(&node));
-                self.tell(node, Event::DiskFailed);
+                discard_unsynced(self.replicas.get_mut(&node));
+                self.step_replica(node, Event::DiskFailed);
             }
         }
     }
@@ -212,10 +214,10 @@
             return;
         };
         let outcome = replica.applier.apply(entry);
-        if replica.node.compactable() >= COMPACT {
+        if replica.node.compactable() >= COMPACTION_ENTRIES {
             let state = replica.applier.machine().snapshot();
             let state = state.expect("the state is encoded");
-            self.tell(node, Event::Compact(entry.id.index, state.into()));
+            self.step_replica(node, Event::Compact(entry.id.index, state.into()));
         }
         self.check_state(node);
         match outcome {
@@ -239,19 +241,26 @@
             let configuration = replica.applier.machine().configuration();
             let digest = configuration.digest();
             let declarations = configuration.declarations();
-            self.ledger.in_force(self.time, declarations, digest);
+            self.history
+                .configuration_applied(self.time, declarations, digest);
         }
     }
 
-    /// A proposal arrives.
-    pub(super) fn proposed(&mut self, from: NodeId, node: NodeId, call: u64, command: &Command) {
-        let id = ProposalId(self.fresh());
+    /// Proposes a received command; an instance without a running replica rejects it.
+    pub(super) fn proposal_received(
+        &mut self,
+        from: NodeId,
+        node: NodeId,
+        call: u64,
+        command: &Command,
+    ) {
+        let id = ProposalId(self.next_id());
         let bytes = encode(command).expect("a command is encoded");
         let Some(replica) = self.replicas.get_mut(&node) else {
-            return self.send(node, from, Parcel::Proposed(call, Proposed::Rejected(None)));
+            return self.send(node, from, Packet::Proposed(call, Proposed::Rejected(None)));
         };
         replica.callers.insert(id, (from, call));
-        self.tell(node, Event::Propose(id, bytes.into()));
+        self.step_replica(node, Event::Propose(id, bytes.into()));
     }
 
     fn answer_call(&mut self, node: NodeId, id: ProposalId, result: Proposed) {
@@ -259,7 +268,7 @@
             return;
         };
         if let Some((from, call)) = replica.callers.remove(&id) {
-            self.send(node, from, Parcel::Proposed(call, result));
+            self.send(node, from, Packet::Proposed(call, result));
         }
     }
 
@@ -277,11 +286,11 @@
         };
         match leader.filter(|_| matches!(reader, Reader::Watch { .. })) {
             Some(leader) => {
-                let token = self.fresh();
+                let token = self.next_id();
                 if let Some(replica) = self.replicas.get_mut(&node) {
                     replica.remote.insert(token, reader);
                 }
-                self.send(node, leader, Parcel::ReadAsk(token));
+                self.send(node, leader, Packet::ReadRequest(token));
             }
             None => self.read_failed(node, &reader),
         }
@@ -290,17 +299,19 @@
     fn read_failed(&mut self, node: NodeId, reader: &Reader) {
         match *reader {
             Reader::Watch { from, session, .. } => {
-                self.send(node, from, Parcel::WatchDone(session, None));
+                self.send(node, from, Packet::WatchResponse(session, None));
+            }
+            Reader::Peer { from, token } => {
+                self.send(node, from, Packet::ReadResponse(token, None));
             }
-            Reader::Peer { from, token } => self.send(node, from, Parcel::ReadDone(token, None)),
         }
     }
 
-    pub(super) fn read_asked(&mut self, from: NodeId, node: NodeId, token: u64) {
+    pub(super) fn read_requested(&mut self, from: NodeId, node: NodeId, token: u64) {
         self.confirm(node, Reader::Peer { from, token });
     }
 
-    pub(super) fn read_done(&mut self, node: NodeId, token: u64, index: Option<Index>) {
+    pub(super) fn read_answered(&mut self, node: NodeId, token: u64, index: Option<Index>) {
         let Some(replica) = self.replicas.get_mut(&node) else {
             return;
         };
@@ -317,15 +328,15 @@
     }
 
     fn confirm(&mut self, node: NodeId, reader: Reader) {
-        let id = ProposalId(self.fresh());
+        let id = ProposalId(self.next_id());
         let Some(replica) = self.replicas.get_mut(&node) else {
             return;
         };
         replica.reads.insert(id, reader);
-        self.tell(node, Event::Read(id));
+        self.step_replica(node, Event::Read(id));
     }
 
-    pub(super) fn watch_asked(
+    pub(super) fn watch_requested(
         &mut self,
         from: NodeId,
         node: NodeId,
@@ -350,7 +361,7 @@
         self.confirm(node, reader);
     }
 
-    /// Answers whoever waited for what is applied now.
+    /// Answers the reads whose index is applied.
     fn serve_ready(&mut self, node: NodeId) {
         let now = self.local(node);
         let Some(replica) = self.replicas.get_mut(&node) else {
@@ -367,7 +378,7 @@
             };
             match reader {
                 Reader::Peer { from, token } => {
-                    self.send(node, from, Parcel::ReadDone(token, Some(index)));
+                    self.send(node, from, Packet::ReadResponse(token, Some(index)));
                 }
                 Reader::Watch {
                     from,
@@ -379,13 +390,13 @@
                     let confirmation = Confirmation { started };
                     let answer = grant(machine, &replica.registry, confirmation, &request, now);
                     let answer = answer.ok().map(Box::new);
-                    self.send(node, from, Parcel::WatchDone(session, answer));
+                    self.send(node, from, Packet::WatchResponse(session, answer));
                 }
             }
         }
     }
 
-    pub(super) fn reported(
+    pub(super) fn report_received(
         &mut self,
         from: NodeId,
         node: NodeId,
@@ -394,18 +405,18 @@
     ) {
         let now = self.local(node);
         if let Some(replica) = self.replicas.get_mut(&node) {
-            let heard = replica.registry.receive(report, now);
-            self.send(node, from, Parcel::Heard(rank, heard));
+            let answer = replica.registry.receive(report, now);
+            self.send(node, from, Packet::ReportAnswer(rank, answer));
         }
     }
 
-    /// The leader brings the members in line with the disks that there are.
-    fn mend_members(&mut self, node: NodeId) {
+    /// Adds running replicas as members and removes members whose disk was replaced.
+    fn reconcile_members(&mut self, node: NodeId) {
         let now = self.local(node);
         let Some(replica) = self.replicas.get(&node) else {
             return;
         };
-        if !replica.node.leads_at(now) || !replica.ticks.is_multiple_of(MEND_TICKS) {
+        if !replica.node.leads_at(now) || !replica.ticks.is_multiple_of(MEMBERSHIP_CHECK_TICKS) {
             return;
         }
         let config = replica.node.config();
@@ -423,22 +434,22 @@
             }
         });
         if let Some(change) = change {
-            let id = ProposalId(self.fresh());
-            self.tell(node, Event::Change(id, change));
+            let id = ProposalId(self.next_id());
+            self.step_replica(node, Event::Change(id, change));
         }
     }
 
-    /// Instance that leads under a lease.
+    /// Returns the instance that holds the leader lease.
     pub(super) fn leader(&self) -> Option<NodeId> {
         let leads = |n: &NodeId| self.replicas[n].node.leads_at(self.local(*n));
         self.replicas.keys().copied().find(leads)
     }
 }
 
-/// A replica whose disk failed says nothing of what was not synced.
-fn replica_clear(replica: Option<&mut Replica>) {
+/// Discards writes and messages of a replica whose disk failed: they were never synced.
+fn discard_unsynced(replica: Option<&mut Replica>) {
     if let Some(replica) = replica {
-        replica.held.clear();
+        replica.unsynced.clear();
         replica.writes.clear();
     }
 }
--- a/dev/scenario/src/world/setup.rs
+++ b/dev/scenario/src/world/setup.rs
@@ -1,4 +1,4 @@
-//! Life of processes: founding, starts, stops and deaths.
+//! Process lifecycle: bootstrap, start, graceful stop and kill.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,11 +15,11 @@
 use super::call::Purpose;
 use super::clock::Clock;
 use super::engine::Engine;
-use super::{Host, Item, NodeId, OUTSIDE, World};
-use crate::script::{ServiceText, UpstreamText};
+use super::{Host, NodeId, OUTSIDE, SimEvent, World};
+use crate::script::{ServiceSpec, UpstreamSpec};
 
-/// Time that a founded deployment has to become whole.
-const FOUNDING: Duration = Duration::from_secs(8);
+/// Time for a new deployment to elect a leader, add its members and apply the services.
+const BOOTSTRAP_TIME: Duration = Duration::from_secs(8);
 
 impl World {
     pub(super) fn add_host(&mut self, name: &str, zone: &str) -> NodeId {
@@ -28,8 +28,8 @@
             zone: zone.to_owned(),
             clock: Clock::new(),
             up: false,
-            life: 0,
-            paused: Time::ZERO,
+            generation: 0,
+            paused_until: Time::ZERO,
             stopping: false,
         });
         self.hosts.len() - 1
@@ -43,9 +43,9 @@
         }
     }
 
-    pub(super) fn add_upstream(&mut self, text: &UpstreamText) {
-        let node = self.add_host(&text.name, &text.zone);
-        self.engines.insert(node, Engine::new(text));
+    pub(super) fn add_upstream(&mut self, spec: &UpstreamSpec) {
+        let node = self.add_host(&spec.name, &spec.zone);
+        self.engines.insert(node, Engine::new(spec));
     }
 
     pub(super) fn address(node: NodeId) -> SocketAddr {
@@ -56,9 +56,13 @@
         InstanceName::from(self.hosts[node].name.as_str())
     }
 
-    /// Founds the log, starts every process and declares the services.
+    /// Bootstraps the log, starts every process and declares the services.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the services are not applied within [`BOOTSTRAP_TIME`].
     pub(super) fn begin(&mut self) -> Result<(), String> {
-        self.found_log();
+        self.bootstrap_log();
         for node in 0..self.hosts.len() {
             self.start(node);
         }
@@ -73,14 +77,14 @@
         };
         self.submit(OUTSIDE, Command::Declare(order), Purpose::Services, None);
         self.form_group();
-        self.run(FOUNDING);
-        if self.ledger.newest.0 != 1 {
-            return Err("the deployment did not come up".to_owned());
+        self.run(BOOTSTRAP_TIME);
+        if self.history.newest.0 != 1 {
+            return Err("the deployment did not become ready".to_owned());
         }
         Ok(())
     }
 
-    fn found_log(&mut self) {
+    fn bootstrap_log(&mut self) {
         let mut config = Config::default();
         let nodes: Vec<NodeId> = self.disks.keys().copied().collect();
         for (position, node) in nodes.iter().enumerate() {
@@ -102,17 +106,17 @@
         let disk = self.disks[&first].clone();
         let mut opened = Storage::open(disk, &name, &mut self.rng).expect("a fresh disk opens");
         let write =
-            Node::bootstrap(&opened.recovered, ClusterId(7), config).expect("an unused folder");
+            Node::bootstrap(&opened.recovered, ClusterId(7), config).expect("the folder is unused");
         opened.storage.write([&write]).expect("a fresh disk writes");
     }
 
     fn document(&self) -> Document {
         let mut document = Document::default();
-        for text in self.services.values() {
-            let profile = profile_of(text);
+        for spec in self.services.values() {
+            let profile = profile_of(spec);
             let service = Service {
-                name: ServiceName::from(text.name.as_str()),
-                kind: text.kind,
+                name: ServiceName::from(spec.name.as_str()),
+                kind: spec.kind,
                 profile: profile.name.clone(),
             };
             document.profiles.insert(profile.name.clone(), profile);
@@ -132,58 +136,61 @@
         host.clock = clock;
         host.up = true;
         host.stopping = false;
-        host.paused = Time::ZERO;
-        host.life += 1;
-        let life = host.life;
+        host.paused_until = Time::ZERO;
+        host.generation += 1;
+        let generation = host.generation;
         if node < self.instances {
             if !self.start_replica(node) {
                 self.hosts[node].up = false;
-                return self.schedule(Duration::from_millis(50), Item::Start(node));
+                return self.schedule(Duration::from_millis(50), SimEvent::Start(node));
             }
             self.start_entry(node);
         } else if !self.start_rank(node) {
             self.start_engine(node);
             self.start_agent(node);
             let name = self.hosts[node].name.clone();
-            self.ledger.leaving(time, &name, false);
+            self.history.leaving(time, &name, false);
         }
-        self.schedule(Duration::ZERO, Item::Tick(node, life));
+        self.schedule(Duration::ZERO, SimEvent::Tick(node, generation));
     }
 
-    /// Begins a graceful shutdown.
+    /// Starts a graceful shutdown.
     pub(super) fn stop(&mut self, node: NodeId) {
         self.hosts[node].stopping = true;
         if node < self.instances {
-            self.tell(node, Event::Transfer);
+            self.step_replica(node, Event::Transfer);
             return;
         }
         let name = self.hosts[node].name.clone();
-        self.ledger.leaving(self.time, &name, true);
+        self.history.leaving(self.time, &name, true);
         self.leave(node);
     }
 
-    /// Ends the process of a graceful shutdown, once it has nothing left to do.
+    /// Ends a process that shuts down gracefully; no request may be in flight.
     pub(super) fn exit(&mut self, node: NodeId) {
-        let busy = self.busy(node);
-        if busy > 0 {
-            let detail = format!("{} stopped with {busy} requests", self.hosts[node].name);
-            self.ledger
-                .violate(self.time, "graceful stops cut nothing short", &detail);
+        let in_flight = self.in_flight(node);
+        if in_flight > 0 {
+            let detail = format!(
+                "{} stopped with {in_flight} requests in flight",
+                self.hosts[node].name
+            );
+            self.history
+                .record_violation(self.time, "graceful stops finish all requests", &detail);
         }
         let text = format!("{} has stopped", self.hosts[node].name);
         self.note(&text);
         self.kill(node);
     }
 
-    fn busy(&self, node: NodeId) -> usize {
-        let flights = self.flights.values().filter(|f| f.entry == node).count();
+    fn in_flight(&self, node: NodeId) -> usize {
+        let streams = self.streams.values().filter(|s| s.entry == node).count();
         let onces = self.onces.values().filter(|o| o.entry == node);
         let onces = onces.filter(|o| !o.is_answered()).count();
         let runs = self.engines.get(&node).map_or(0, Engine::running);
-        flights + onces + runs
+        streams + onces + runs
     }
 
-    /// Ends a process at once; its disk keeps what was synced.
+    /// Kills a process; its disk keeps only synced data.
     pub(super) fn kill(&mut self, node: NodeId) {
         if !self.hosts[node].up {
             return;
@@ -198,21 +205,21 @@
             self.entries.remove(&node);
             self.drop_requests(node);
         } else {
-            self.engine_dies(node);
+            self.crash_engine(node);
             self.agents.remove(&node);
         }
     }
 }
 
-pub(super) fn profile_of(text: &ServiceText) -> Profile {
+pub(super) fn profile_of(spec: &ServiceSpec) -> Profile {
     Profile {
-        name: ProfileName::from(text.name.as_str()),
-        model: (text.kind == ServiceKind::Model).then(|| ModelName::from(text.name.as_str())),
-        deadline: text.deadline,
-        idempotent: !text.once,
-        lapse: text.lapse,
+        name: ProfileName::from(spec.name.as_str()),
+        model: (spec.kind == ServiceKind::Model).then(|| ModelName::from(spec.name.as_str())),
+        deadline: spec.deadline,
+        idempotent: !spec.once,
+        lapse: spec.lapse,
         retry: pimentotide_model::RetryPolicy {
-            attempts: text.attempts,
+            attempts: spec.attempts,
             ..Profile::default().retry
         },
         ..Profile::default()
--- a/dev/scenario/src/world/stream.rs
+++ b/dev/scenario/src/world/stream.rs
@@ -1,4 +1,4 @@
-//! Idempotent requests: placement, assembly, and another attempt after a break.
+//! Idempotent requests: placement, assembly of the stream, and retries after a broken attempt.
 
 use std::time::Duration;
 
@@ -10,173 +10,174 @@
     Assembly, BrokenStream, Command as Journaled, Crash, Progress, Reply, ResumePlan, Ticket,
     Verdict, Witness, plan_resume,
 };
-use pimentotide_routing::{
-    Admission, AttemptOutcome as Flown, Finished, Placement, Ticket as Booking,
-};
+use pimentotide_routing::{Admission, AttemptOutcome, Finished, Placement, Ticket as PlacerTicket};
 
 use super::call::Purpose;
 use super::engine::answer_to;
-use super::ledger::Told;
-use super::parcel::{Parcel, Work, WorkAnswer};
-use super::{Item, NodeId, World};
-use crate::script::{Guard, RequestText};
+use super::history::CallerResult;
+use super::packet::{Packet, Work, WorkAnswer};
+use super::{NodeId, SimEvent, World};
+use crate::script::{Guard, RequestSpec};
 
-/// Pause before a request that found no room is placed again.
-const ROOM_PAUSE: Duration = Duration::from_millis(20);
-/// Longest wait for room.
-const ROOM_WAIT: Duration = Duration::from_secs(5);
+/// Delay before placement is retried.
+const PLACEMENT_RETRY_DELAY: Duration = Duration::from_millis(20);
+/// Time for which a request without a place is retried.
+const PLACEMENT_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// An idempotent request on its way.
-pub(super) struct Flight {
+/// An in-flight idempotent request.
+pub(super) struct StreamRequest {
     pub(super) entry: NodeId,
     name: String,
     content: String,
     meta: RequestMeta,
     tried: Vec<UpstreamName>,
-    booking: Option<Booking>,
+    ticket: Option<PlacerTicket>,
     upstream: Option<(UpstreamName, Incarnation)>,
     attempt: u32,
-    left: u32,
-    arrived: Time,
-    sent: Time,
-    heard: Time,
+    attempts_left: u32,
+    arrived_at: Time,
+    sent_at: Time,
+    received_at: Time,
     ran: bool,
     verdict: Verdict,
     assembly: Assembly<String>,
     tokens: Vec<String>,
 }
 
-pub(super) fn request_id(flight: u64) -> RequestId {
-    RequestId(u128::from(flight))
+pub(super) fn request_id(id: u64) -> RequestId {
+    RequestId(u128::from(id))
 }
 
 impl World {
-    pub(super) fn tick_flights(&mut self, node: NodeId, now: Time) {
-        let flights: Vec<u64> = self
-            .flights
+    pub(super) fn tick_streams(&mut self, node: NodeId, now: Time) {
+        let streams: Vec<u64> = self
+            .streams
             .iter()
-            .filter(|(_, f)| f.entry == node && f.booking.is_some())
+            .filter(|(_, s)| s.entry == node && s.ticket.is_some())
             .map(|(id, _)| *id)
             .collect();
-        for id in flights {
-            let Some(flight) = self.flights.get_mut(&id) else {
+        for id in streams {
+            let Some(stream) = self.streams.get_mut(&id) else {
                 continue;
             };
-            let late = now.since(flight.heard) > Self::longest_pause();
-            let broken = matches!(flight.assembly.tick(now), Progress::Broken(_));
-            if late || broken {
-                self.broke(id, false);
+            let timed_out = now.since(stream.received_at) > Self::piece_timeout();
+            let broken = matches!(stream.assembly.tick(now), Progress::Broken(_));
+            if timed_out || broken {
+                self.attempt_failed(id, false);
             }
         }
     }
 
-    pub(super) fn open_flight(
+    pub(super) fn open_stream(
         &mut self,
         id: u64,
         node: NodeId,
-        text: &RequestText,
+        spec: &RequestSpec,
         meta: RequestMeta,
         content: String,
         attempts: u32,
     ) {
         let now = self.local(node);
-        let flight = Flight {
+        let stream = StreamRequest {
             entry: node,
-            name: text.name.clone(),
+            name: spec.name.clone(),
             content,
             tried: Vec::new(),
-            booking: None,
+            ticket: None,
             upstream: None,
             attempt: 0,
-            left: attempts,
-            arrived: now,
-            sent: now,
-            heard: now,
+            attempts_left: attempts,
+            arrived_at: now,
+            sent_at: now,
+            received_at: now,
             ran: false,
             verdict: Verdict::Free,
             assembly: Assembly::open(meta.id, 1),
             tokens: Vec::new(),
             meta,
         };
-        self.flights.insert(id, flight);
-        self.schedule(Duration::ZERO, Item::Flight(id));
+        self.streams.insert(id, stream);
+        self.schedule(Duration::ZERO, SimEvent::Stream(id));
     }
 
-    /// Looks for a place for a request.
-    pub(super) fn place_flight(&mut self, id: u64) {
-        let Some(flight) = self.flights.get(&id) else {
+    /// Places a request at an upstream, or schedules another try.
+    pub(super) fn place_stream(&mut self, id: u64) {
+        let Some(stream) = self.streams.get(&id) else {
             return;
         };
-        let node = flight.entry;
+        let node = stream.entry;
         let now = self.local(node);
-        if now >= flight.meta.deadline {
+        if now >= stream.meta.deadline {
             return self.fail(id, Failure::new(ErrorKind::DeadlineExceeded, "late"));
         }
-        if flight.booking.is_some() {
+        if stream.ticket.is_some() {
             return;
         }
-        let (meta, tried) = (flight.meta.clone(), flight.tried.clone());
-        let waited = now.since(flight.arrived);
+        let (meta, tried) = (stream.meta.clone(), stream.tried.clone());
+        let waited = now.since(stream.arrived_at);
         let entry = self
             .entries
             .get_mut(&node)
-            .expect("flights end with their entry");
+            .expect("a request ends with its entry");
         match entry.placer.place(&meta, &tried, now, &mut self.rng) {
             Placement::Chosen(decision) => {
                 let incarnation = entry
-                    .holder
+                    .watcher
                     .view
                     .get(&decision.upstream)
                     .map(|a| a.incarnation);
-                let flight = self.flights.get_mut(&id).expect("the flight is there");
-                flight.upstream = Some((decision.upstream, incarnation.unwrap_or_default()));
-                flight.booking = Some(decision.ticket);
-                flight.sent = now;
-                flight.heard = now;
-                self.try_content(id);
+                let stream = self.streams.get_mut(&id).expect("the request is open");
+                stream.upstream = Some((decision.upstream, incarnation.unwrap_or_default()));
+                stream.ticket = Some(decision.ticket);
+                stream.sent_at = now;
+                stream.received_at = now;
+                self.request_trial(id);
             }
-            Placement::Wait(_) if waited < ROOM_WAIT => {
-                self.schedule(ROOM_PAUSE, Item::Flight(id));
+            Placement::Wait(_) if waited < PLACEMENT_TIMEOUT => {
+                self.schedule(PLACEMENT_RETRY_DELAY, SimEvent::Stream(id));
             }
-            Placement::Wait(_) => self.fail(id, Failure::new(ErrorKind::Overloaded, "no room")),
-            Placement::Refused(failure) if waited >= ROOM_WAIT || tried.is_empty() => {
+            Placement::Wait(_) => self.fail(
+                id,
+                Failure::new(ErrorKind::Overloaded, "no upstream has free capacity"),
+            ),
+            Placement::Refused(failure) if waited >= PLACEMENT_TIMEOUT || tried.is_empty() => {
                 self.fail(id, failure);
             }
             Placement::Refused(_) => {
-                if let Some(flight) = self.flights.get_mut(&id) {
-                    flight.tried.clear();
+                if let Some(stream) = self.streams.get_mut(&id) {
+                    stream.tried.clear();
                 }
-                self.schedule(ROOM_PAUSE, Item::Flight(id));
+                self.schedule(PLACEMENT_RETRY_DELAY, SimEvent::Stream(id));
             }
         }
     }
 
-    /// Asks whether the content may run, if there is any that crashes engines.
-    fn try_content(&mut self, id: u64) {
+    /// Asks the log whether the content may run, if the script poisons any content.
+    fn request_trial(&mut self, id: u64) {
         let time = self.time;
         if self.poisons.is_empty() {
-            return self.fly(id);
+            return self.send_attempt(id);
         }
-        let Some(flight) = self.flights.get(&id) else {
+        let Some(stream) = self.streams.get(&id) else {
             return;
         };
-        let Some((upstream, _)) = flight.upstream.clone() else {
+        let Some((upstream, _)) = stream.upstream.clone() else {
             return;
         };
         let command = Journaled::Trial {
-            content: flight.meta.fingerprint,
+            content: stream.meta.fingerprint,
             ticket: Ticket {
-                request: flight.meta.id,
-                attempt: flight.attempt + 1,
+                request: stream.meta.id,
+                attempt: stream.attempt + 1,
             },
             upstream,
-            allowed: flight
+            allowed: stream
                 .meta
                 .deadline
                 .since(time)
                 .min(Duration::from_secs(10)),
         };
-        let node = flight.entry;
+        let node = stream.entry;
         self.submit(node, Command::Outcome(command), Purpose::Trial(id), None);
     }
 
@@ -185,61 +186,61 @@
             Some(Reply::Verdict(verdict)) => *verdict,
             _ => Verdict::Free,
         };
-        let Some(flight) = self.flights.get_mut(&id) else {
+        let Some(stream) = self.streams.get_mut(&id) else {
             return;
         };
-        flight.verdict = verdict;
+        stream.verdict = verdict;
         match verdict {
-            Verdict::Free | Verdict::Apart => self.fly(id),
+            Verdict::Free | Verdict::Apart => self.send_attempt(id),
             Verdict::Refused(_) => {
-                self.unbook(id, Flown::Cancelled);
+                self.release_ticket(id, AttemptOutcome::Cancelled);
                 self.fail(
                     id,
-                    Failure::new(ErrorKind::CrashingRequest, "crashes engines"),
+                    Failure::new(ErrorKind::CrashingRequest, "this request crashes engines"),
                 );
             }
             Verdict::Wait(pause) => {
-                self.unbook(id, Flown::Cancelled);
-                self.schedule(pause, Item::Flight(id));
+                self.release_ticket(id, AttemptOutcome::Cancelled);
+                self.schedule(pause, SimEvent::Stream(id));
             }
             Verdict::Occupied => {
-                self.unbook(id, Flown::Cancelled);
-                self.schedule(ROOM_PAUSE, Item::Flight(id));
+                self.release_ticket(id, AttemptOutcome::Cancelled);
+                self.schedule(PLACEMENT_RETRY_DELAY, SimEvent::Stream(id));
             }
         }
     }
 
-    fn fly(&mut self, id: u64) {
-        let Some(flight) = self.flights.get_mut(&id) else {
+    fn send_attempt(&mut self, id: u64) {
+        let Some(stream) = self.streams.get_mut(&id) else {
             return;
         };
-        let node = flight.entry;
+        let node = stream.entry;
         let now = self.hosts[node].clock.local(self.time);
-        flight.attempt += 1;
-        flight.sent = now;
-        flight.heard = now;
-        if flight.attempt > 1 {
-            flight.assembly.resume(flight.attempt);
+        stream.attempt += 1;
+        stream.sent_at = now;
+        stream.received_at = now;
+        if stream.attempt > 1 {
+            stream.assembly.resume(stream.attempt);
         }
-        let Some((upstream, _)) = flight.upstream.clone() else {
+        let Some((upstream, _)) = stream.upstream.clone() else {
             return;
         };
         let work = Work {
-            flight: id,
-            attempt: flight.attempt,
-            name: flight.name.clone(),
-            content: flight.content.clone(),
-            from: flight.assembly.delivered(),
+            request: id,
+            attempt: stream.attempt,
+            name: stream.name.clone(),
+            content: stream.content.clone(),
+            from: stream.assembly.delivered(),
             admission: self.admission(id, node),
             claim: None,
         };
         if let Some(to) = self.node(upstream.as_str()) {
-            self.send(node, to, Parcel::Work(Box::new(work)));
+            self.send(node, to, Packet::Work(Box::new(work)));
         }
     }
 
     fn admission(&self, id: u64, node: NodeId) -> Admission {
-        self.admission_of(&self.flights[&id].meta, node)
+        self.admission_of(&self.streams[&id].meta, node)
     }
 
     pub(super) fn admission_of(&self, meta: &RequestMeta, node: NodeId) -> Admission {
@@ -250,27 +251,27 @@
             workspace: meta.workspace.clone(),
             priority: meta.priority,
             remaining: meta.deadline.since(self.local(node)),
-            revision: self.entries[&node].holder.watch.revision(),
+            revision: self.entries[&node].watcher.watch.revision(),
             credit: None,
         }
     }
 
-    /// Gives the booking of a request back.
-    fn unbook(&mut self, id: u64, verdict: Flown) {
-        let Some(flight) = self.flights.get_mut(&id) else {
+    /// Returns the placement ticket of a request with the outcome of the attempt.
+    fn release_ticket(&mut self, id: u64, outcome: AttemptOutcome) {
+        let Some(stream) = self.streams.get_mut(&id) else {
             return;
         };
-        let node = flight.entry;
+        let node = stream.entry;
         let now = self.hosts[node].clock.local(self.time);
         let done = Finished {
-            outcome: verdict,
-            first_token: Some(now.since(flight.sent)),
-            total: now.since(flight.sent),
-            tokens: flight.tokens.len() as u32,
+            outcome,
+            first_token: Some(now.since(stream.sent_at)),
+            total: now.since(stream.sent_at),
+            tokens: stream.tokens.len() as u32,
             cached: None,
         };
-        if let (Some(booking), Some(entry)) = (flight.booking.take(), self.entries.get_mut(&node)) {
-            entry.placer.finish(booking, &flight.meta, &done, now);
+        if let (Some(ticket), Some(entry)) = (stream.ticket.take(), self.entries.get_mut(&node)) {
+            entry.placer.finish(ticket, &stream.meta, &done, now);
         }
     }
 
@@ -284,91 +285,91 @@
         if self.onces.contains_key(&id) {
             return self.once_answered(id, attempt, answer);
         }
-        let Some(flight) = self.flights.get_mut(&id) else {
+        let Some(stream) = self.streams.get_mut(&id) else {
             return;
         };
-        let here = flight
+        let expected = stream
             .upstream
             .as_ref()
             .is_some_and(|(u, _)| u.as_str() == self.hosts[from].name);
-        if !here || flight.booking.is_none() || flight.attempt != attempt {
+        if !expected || stream.ticket.is_none() || stream.attempt != attempt {
             return;
         }
         match answer {
             WorkAnswer::Refused(refusal) => {
-                let upstream = flight.upstream.take().map(|(u, _)| u);
-                flight.tried.extend(upstream);
+                let upstream = stream.upstream.take().map(|(u, _)| u);
+                stream.tried.extend(upstream);
                 let report = Some(refusal.report);
-                self.unbook(id, Flown::Refused(report));
+                self.release_ticket(id, AttemptOutcome::Refused(report));
                 if self.bypasses(Guard::Refusals) {
                     let failure = Failure::new(refusal.kind, "refused");
                     return self.fail(id, failure);
                 }
-                self.schedule(ROOM_PAUSE, Item::Flight(id));
+                self.schedule(PLACEMENT_RETRY_DELAY, SimEvent::Stream(id));
             }
             WorkAnswer::Unsent => {
-                let upstream = flight.upstream.take().map(|(u, _)| u);
-                flight.tried.extend(upstream);
-                self.unbook(id, Flown::Failed);
-                self.schedule(ROOM_PAUSE, Item::Flight(id));
+                let upstream = stream.upstream.take().map(|(u, _)| u);
+                stream.tried.extend(upstream);
+                self.release_ticket(id, AttemptOutcome::Failed);
+                self.schedule(PLACEMENT_RETRY_DELAY, SimEvent::Stream(id));
             }
-            WorkAnswer::Piece(piece) => self.piece(id, piece),
-            WorkAnswer::Died(incarnation) => self.died(id, incarnation),
+            WorkAnswer::Piece(piece) => self.piece_received(id, piece),
+            WorkAnswer::EngineCrashed(incarnation) => self.engine_crashed(id, incarnation),
             WorkAnswer::Reset | WorkAnswer::NotRun(_) | WorkAnswer::Finished(_) => {
-                self.broke(id, true);
+                self.attempt_failed(id, true);
             }
         }
     }
 
-    fn piece(&mut self, id: u64, piece: pimentotide_outcome::Piece<String>) {
+    fn piece_received(&mut self, id: u64, piece: pimentotide_outcome::Piece<String>) {
         let unordered = self.bypasses(Guard::Assembly);
-        let flight = self.flights.get_mut(&id).expect("the flight is there");
-        let now = self.hosts[flight.entry].clock.local(self.time);
-        flight.heard = now;
-        flight.ran = true;
+        let stream = self.streams.get_mut(&id).expect("the request is open");
+        let now = self.hosts[stream.entry].clock.local(self.time);
+        stream.received_at = now;
+        stream.ran = true;
         let progress = if unordered {
-            raw(flight, piece)
+            append_unordered(stream, piece)
         } else {
-            flight.assembly.push(piece, now, &mut flight.tokens)
+            stream.assembly.push(piece, now, &mut stream.tokens)
         };
         match progress {
             Progress::Open => {}
             Progress::Whole => {
-                self.unbook(id, Flown::Good);
-                let flight = self.flights.remove(&id).expect("the flight is there");
-                let expected = answer_to(&flight.content);
-                self.ledger
-                    .whole(self.time, &flight.name, &flight.tokens, &expected);
-                self.end_trial(&flight);
+                self.release_ticket(id, AttemptOutcome::Good);
+                let stream = self.streams.remove(&id).expect("the request is open");
+                let expected = answer_to(&stream.content);
+                self.history
+                    .complete(self.time, &stream.name, &stream.tokens, &expected);
+                self.end_trial(&stream);
             }
-            Progress::Broken(_) => self.broke(id, true),
+            Progress::Broken(_) => self.attempt_failed(id, true),
         }
     }
 
-    fn end_trial(&mut self, flight: &Flight) {
-        if flight.verdict != Verdict::Apart {
+    fn end_trial(&mut self, stream: &StreamRequest) {
+        if stream.verdict != Verdict::Apart {
             return;
         }
         let command = Journaled::EndTrial {
-            content: flight.meta.fingerprint,
+            content: stream.meta.fingerprint,
             ticket: Ticket {
-                request: flight.meta.id,
-                attempt: flight.attempt,
+                request: stream.meta.id,
+                attempt: stream.attempt,
             },
             finished: true,
         };
         self.submit(
-            flight.entry,
+            stream.entry,
             Command::Outcome(command),
             Purpose::Crash,
             None,
         );
     }
 
-    /// The engine died under a request, which is a suspect from now on.
-    fn died(&mut self, id: u64, incarnation: Incarnation) {
-        let flight = &self.flights[&id];
-        if let Some((upstream, _)) = flight.upstream.clone() {
+    /// Reports a crash of the engine with the request as its suspect.
+    fn engine_crashed(&mut self, id: u64, incarnation: Incarnation) {
+        let stream = &self.streams[&id];
+        if let Some((upstream, _)) = stream.upstream.clone() {
             let zone = self
                 .node(upstream.as_str())
                 .map(|n| self.hosts[n].zone.clone());
@@ -377,79 +378,82 @@
                 incarnation,
                 zone: zone.map(ZoneName::from),
                 witness: Witness::Agent,
-                suspects: vec![flight.meta.fingerprint],
+                suspects: vec![stream.meta.fingerprint],
             };
             let command = Command::Outcome(Journaled::Crash(crash));
-            self.submit(flight.entry, command, Purpose::Crash, None);
+            self.submit(stream.entry, command, Purpose::Crash, None);
         }
-        self.broke(id, true);
+        self.attempt_failed(id, true);
     }
 
-    /// An attempt broke off; decides whether there is another.
-    fn broke(&mut self, id: u64, heard: bool) {
-        self.unbook(id, Flown::Failed);
-        let Some(flight) = self.flights.get_mut(&id) else {
+    /// Ends a broken attempt and plans the next one or fails the request.
+    fn attempt_failed(&mut self, id: u64, answered: bool) {
+        self.release_ticket(id, AttemptOutcome::Failed);
+        let Some(stream) = self.streams.get_mut(&id) else {
             return;
         };
-        let now = self.hosts[flight.entry].clock.local(self.time);
-        flight.ran = true;
-        flight.left = flight.left.saturating_sub(1);
-        let upstream = flight.upstream.take().map(|(u, _)| u);
-        if !heard || flight.tried.len() > 1 {
-            flight.tried.clear();
+        let now = self.hosts[stream.entry].clock.local(self.time);
+        stream.ran = true;
+        stream.attempts_left = stream.attempts_left.saturating_sub(1);
+        let upstream = stream.upstream.take().map(|(u, _)| u);
+        if !answered || stream.tried.len() > 1 {
+            stream.tried.clear();
         }
-        flight.tried.extend(upstream);
+        stream.tried.extend(upstream);
         let state = BrokenStream {
             idempotent: true,
-            delivered: flight.assembly.delivered(),
+            delivered: stream.assembly.delivered(),
             resumable: true,
-            attempts: flight.left,
-            deadline: flight.meta.deadline,
+            attempts: stream.attempts_left,
+            deadline: stream.meta.deadline,
             exporter: None,
             verdict: Verdict::Free,
         };
         match plan_resume(&state, now) {
             ResumePlan::Continue { .. } | ResumePlan::Restart | ResumePlan::ChooseAgain => {
-                self.schedule(ROOM_PAUSE, Item::Flight(id));
+                self.schedule(PLACEMENT_RETRY_DELAY, SimEvent::Stream(id));
             }
-            ResumePlan::Wait(until) => self.schedule(until.since(now), Item::Flight(id)),
+            ResumePlan::Wait(until) => self.schedule(until.since(now), SimEvent::Stream(id)),
             ResumePlan::Fail(failure) => self.fail(id, failure),
         }
     }
 
     fn fail(&mut self, id: u64, failure: Failure) {
-        let Some(flight) = self.flights.remove(&id) else {
+        let Some(stream) = self.streams.remove(&id) else {
             return;
         };
-        let failure = if flight.ran && failure.ran == Ran::No {
+        let failure = if stream.ran && failure.ran == Ran::No {
             failure.with_ran(Ran::Unknown)
         } else {
             failure
         };
-        self.tell_caller(&flight.name, Told::Failure(failure));
+        self.answer_caller(&stream.name, CallerResult::Failure(failure));
     }
 
-    /// An entry died; its callers hear nothing.
+    /// Drops the requests of a stopped entry; their callers receive no answer.
     pub(super) fn drop_requests(&mut self, node: NodeId) {
-        let flights: Vec<u64> = self
-            .flights
+        let streams: Vec<u64> = self
+            .streams
             .iter()
-            .filter(|(_, f)| f.entry == node)
+            .filter(|(_, s)| s.entry == node)
             .map(|(id, _)| *id)
             .collect();
-        for id in flights {
-            let flight = self.flights.remove(&id).expect("it was listed");
-            self.tell_caller(&flight.name, Told::Nothing);
+        for id in streams {
+            let stream = self.streams.remove(&id).expect("it was listed");
+            self.answer_caller(&stream.name, CallerResult::Lost);
         }
         self.drop_onces(node);
     }
 }
 
-/// Takes pieces in as they come, to show what the assembly is for.
-fn raw(flight: &mut Flight, piece: pimentotide_outcome::Piece<String>) -> Progress {
+/// Appends pieces in order of arrival, without the checks of the assembly.
+fn append_unordered(
+    stream: &mut StreamRequest,
+    piece: pimentotide_outcome::Piece<String>,
+) -> Progress {
     match piece {
         pimentotide_outcome::Piece::Token { token, .. } => {
-            flight.tokens.push(token);
+            stream.tokens.push(token);
             Progress::Open
         }
         pimentotide_outcome::Piece::End { .. } => Progress::Whole,
--- a/dev/scenario/src/world/watcher.rs
+++ b/dev/scenario/src/world/watcher.rs
@@ -1,4 +1,4 @@
-//! Watch sessions of entries and agents.
+//! Watch sessions of entries and agents with the control replicas.
 
 use pimentotide_control::currency::{
     LONG_POLL_MARGIN, LONG_POLL_TIMEOUT, Rotation, Watch, WatchAnswer, WatchOutcome, WatchRequest,
@@ -6,114 +6,115 @@
 use pimentotide_control::directory::View;
 use pimentotide_model::{Time, UpstreamName};
 
-use super::parcel::Parcel;
+use super::packet::Packet;
 use super::{NodeId, World};
 use crate::script::Guard;
 
-/// A holder's side of the watch.
-pub(super) struct Holder {
+/// Client side of a watch session.
+pub(super) struct Watcher {
     pub(super) watch: Watch,
     pub(super) view: View,
     rotation: Rotation,
     session: u64,
-    sent: Option<Time>,
-    due: Time,
+    sent_at: Option<Time>,
+    next_request: Time,
 }
 
-impl Holder {
+impl Watcher {
     pub(super) fn new(replicas: usize, seed: usize, now: Time) -> Self {
         Self {
             watch: Watch::default(),
             view: View::default(),
             rotation: Rotation::new(replicas, seed),
             session: 0,
-            sent: None,
-            due: now,
+            sent_at: None,
+            next_request: now,
         }
     }
 }
 
 impl World {
-    pub(super) fn holder_mut(&mut self, node: NodeId) -> Option<&mut Holder> {
+    pub(super) fn watcher_mut(&mut self, node: NodeId) -> Option<&mut Watcher> {
         if node < self.instances {
-            return self.entries.get_mut(&node).map(|e| &mut e.holder);
+            return self.entries.get_mut(&node).map(|e| &mut e.watcher);
         }
-        self.agents.get_mut(&node).map(|a| &mut a.holder)
+        self.agents.get_mut(&node).map(|a| &mut a.watcher)
     }
 
-    /// Asks for news, and gives up on a replica that does not answer.
-    pub(super) fn tick_holder(&mut self, node: NodeId) {
+    /// Sends the next watch request; rotates to another replica after a timeout.
+    pub(super) fn tick_watcher(&mut self, node: NodeId) {
         let now = self.local(node);
-        let session = self.fresh();
+        let session = self.next_id();
         let name = self.instance_name(node);
         let agent = node >= self.instances;
         let replicas: Vec<NodeId> = self.disks.keys().copied().collect();
-        let Some(holder) = self.holder_mut(node) else {
+        let Some(watcher) = self.watcher_mut(node) else {
             return;
         };
-        if holder
-            .sent
+        if watcher
+            .sent_at
             .is_some_and(|s| now.since(s) >= LONG_POLL_TIMEOUT + LONG_POLL_MARGIN)
         {
-            holder.sent = None;
-            holder.view.detach();
-            holder.due = now + holder.rotation.fail();
+            watcher.sent_at = None;
+            watcher.view.detach();
+            watcher.next_request = now + watcher.rotation.fail();
         }
-        if holder.sent.is_some() || now < holder.due {
+        if watcher.sent_at.is_some() || now < watcher.next_request {
             return;
         }
-        holder.sent = Some(now);
-        holder.session = session;
+        watcher.sent_at = Some(now);
+        watcher.session = session;
         let request = WatchRequest {
             upstream: agent.then(|| UpstreamName::from(name.as_str())),
             instance: name,
-            held: holder.watch.held(),
-            mark: holder.view.mark().filter(|_| !agent),
+            held: watcher.watch.held(),
+            mark: watcher.view.mark().filter(|_| !agent),
             directory: !agent,
             eager: true,
         };
-        let to = replicas[holder.rotation.position()];
-        self.send(node, to, Parcel::WatchAsk(session, Box::new(request)));
+        let to = replicas[watcher.rotation.position()];
+        self.send(node, to, Packet::WatchRequest(session, Box::new(request)));
     }
 
-    pub(super) fn watch_done(
+    pub(super) fn watch_answered(
         &mut self,
         node: NodeId,
         session: u64,
         answer: Option<Box<WatchAnswer>>,
     ) {
         let now = self.local(node);
-        let skips = self.bypasses(Guard::Revisions);
-        let Some(holder) = self.holder_mut(node) else {
+        let accepts_older = self.bypasses(Guard::Revisions);
+        let Some(watcher) = self.watcher_mut(node) else {
             return;
         };
-        let Some(sent) = holder.sent.filter(|_| holder.session == session) else {
+        let Some(sent) = watcher.sent_at.filter(|_| watcher.session == session) else {
             return;
         };
-        holder.sent = None;
+        watcher.sent_at = None;
         let Some(answer) = answer else {
-            holder.view.detach();
-            holder.due = now + holder.rotation.fail();
+            watcher.view.detach();
+            watcher.next_request = now + watcher.rotation.fail();
             return;
         };
-        holder.rotation.succeed();
-        holder.due = now + LONG_POLL_TIMEOUT / 2;
-        let before = holder.watch.revision();
-        if skips && answer.revision < before {
-            holder.watch = Watch::default();
+        watcher.rotation.succeed();
+        watcher.next_request = now + LONG_POLL_TIMEOUT / 2;
+        let before = watcher.watch.revision();
+        if accepts_older && answer.revision < before {
+            watcher.watch = Watch::default();
         }
-        let taken = holder.watch.receive(sent, &answer);
-        let after = holder.watch.revision();
-        if taken == WatchOutcome::Repair {
-            holder.due = now;
+        let outcome = watcher.watch.receive(sent, &answer);
+        let after = watcher.watch.revision();
+        if outcome == WatchOutcome::Repair {
+            watcher.next_request = now;
         }
         let events = answer
             .directory
             .as_ref()
-            .map(|update| holder.view.receive(update))
+            .map(|update| watcher.view.receive(update))
             .unwrap_or_default();
         let name = self.hosts[node].name.clone();
-        self.ledger.held(self.time, &name, before, after);
-        self.news(node, taken, events);
+        self.history
+            .watcher_updated(self.time, &name, before, after);
+        self.watch_updated(node, outcome, events);
     }
 }
