--- a/app/tests/it/soak.rs
+++ b/app/tests/it/soak.rs
@@ -15,16 +15,19 @@
     };
     let report = run(&options).await.expect("the deployment serves");
     assert!(
-        report.broken.is_empty(),
+        report.violations.is_empty(),
         "{:?}\n{:#?}\nlogs: {:?}",
-        report.broken,
+        report.violations,
         report.faults,
         report.logs
     );
-    let served = report.endings.iter().find(|(ending, _)| ending == "Whole");
+    let served = report
+        .outcomes
+        .iter()
+        .find(|(outcome, _)| outcome == "Whole");
     assert!(
         served.is_some_and(|(_, count)| *count > 100),
         "{:?}",
-        report.endings
+        report.outcomes
     );
 }
--- a/dev/soak/src/caller.rs
+++ b/dev/soak/src/caller.rs
@@ -13,7 +13,7 @@
 use tokio::task::JoinHandle;
 
 use crate::cluster::Cluster;
-use crate::history::{Call, Ending, Kind, Notes};
+use crate::history::{Call, Kind, Notes, Outcome};
 use crate::upstream::{EVENTS, body_of, event_of};
 use pimentotide_wire::{Message, Template, read_message};
 
@@ -99,19 +99,19 @@
         let entry = self.rng.random_range(0..self.entries.len());
         let id = self.requests.next();
         let sent = self.notes.now();
-        let ending = match tokio::time::timeout(PATIENCE, self.exchange(entry, id, kind)).await {
-            Ok(ending) => ending,
-            Err(_) => Ending::Late,
+        let outcome = match tokio::time::timeout(PATIENCE, self.exchange(entry, id, kind)).await {
+            Ok(outcome) => outcome,
+            Err(_) => Outcome::Late,
         };
         let ended = self.notes.now();
-        let served = ending == Ending::Whole;
+        let served = outcome == Outcome::Whole;
         self.notes.history().calls.push(Call {
             id,
             kind,
             entry,
             sent,
             ended,
-            ending,
+            outcome,
         });
         served
     }
@@ -125,7 +125,7 @@
         }
     }
 
-    async fn exchange(&mut self, entry: usize, id: u64, kind: Kind) -> Ending {
+    async fn exchange(&mut self, entry: usize, id: u64, kind: Kind) -> Outcome {
         let kept = self.kept.remove(&entry);
         let kept = kept.filter(|_| self.rng.random_bool(KEPT));
         let mut stream = match kept.filter(is_open) {
@@ -134,7 +134,7 @@
                 let connecting = TcpStream::connect(self.entries[entry]);
                 match tokio::time::timeout(CONNECT, connecting).await {
                     Ok(Ok(stream)) => stream,
-                    Ok(Err(_)) | Err(_) => return Ending::Unconnected,
+                    Ok(Err(_)) | Err(_) => return Outcome::Unconnected,
                 }
             }
         };
@@ -149,10 +149,10 @@
         let values = [("path", path), ("attempt", &attempt), ("body", &body)];
         let request = self.template.fill(&values);
         if stream.write_all(request.as_bytes()).await.is_err() {
-            return Ending::Broken;
+            return Outcome::Broken;
         }
         let Some(answer) = read_message(&mut stream).await else {
-            return Ending::Broken;
+            return Outcome::Broken;
         };
         if answer.keeps_connection() {
             self.kept.insert(entry, stream);
@@ -168,24 +168,24 @@
 }
 
 /// Compares an answer with the one that belongs to the request.
-fn judge(answer: &Message, id: u64, kind: Kind) -> Ending {
+fn judge(answer: &Message, id: u64, kind: Kind) -> Outcome {
     if answer.status() != 200 {
-        return if answer.complete {
-            Ending::Refused(answer.status())
+        return if answer.whole {
+            Outcome::Refused(answer.status())
         } else {
-            Ending::Broken
+            Outcome::Broken
         };
     }
     let expected = match kind {
         Kind::Stream => (1..=EVENTS).map(|n| event_of(id, n)).collect(),
         Kind::Repeatable | Kind::Once | Kind::Parity(_) => body_of(id),
     };
-    if answer.complete && answer.body == expected {
-        return Ending::Whole;
+    if answer.whole && answer.body == expected {
+        return Outcome::Whole;
     }
-    if !answer.complete && expected.starts_with(&answer.body) {
-        return Ending::Broken;
+    if !answer.whole && expected.starts_with(&answer.body) {
+        return Outcome::Broken;
     }
     let shown: String = answer.body.chars().take(120).collect();
-    Ending::Wrong(format!("whole {}: {shown:?}", answer.complete))
+    Outcome::Wrong(format!("whole {}: {shown:?}", answer.whole))
 }
--- a/dev/soak/src/history.rs
+++ b/dev/soak/src/history.rs
@@ -22,7 +22,7 @@
 
 /// How a call ended for its caller.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
-pub enum Ending {
+pub enum Outcome {
     /// A whole answer of its own upstream.
     Whole,
     /// An answer of the system itself, with its status.
@@ -53,7 +53,7 @@
     /// When it ended.
     pub ended: u64,
     /// How it ended.
-    pub ending: Ending,
+    pub outcome: Outcome,
 }
 
 /// One run of a request at an upstream.
@@ -134,10 +134,10 @@
 
 impl History {
     /// Number of calls by how they ended.
-    pub fn endings(&self) -> Vec<(String, usize)> {
+    pub fn outcomes(&self) -> Vec<(String, usize)> {
         let mut counts: BTreeMap<String, usize> = BTreeMap::new();
         for call in &self.calls {
-            *counts.entry(call.ending.to_string()).or_default() += 1;
+            *counts.entry(call.outcome.to_string()).or_default() += 1;
         }
         counts.into_iter().collect()
     }
--- a/dev/soak/src/lib.rs
+++ b/dev/soak/src/lib.rs
@@ -7,7 +7,7 @@
 //! seed, a schedule kills, stops, pauses and reloads processes, takes data
 //! folders away, crashes, hangs and drains upstreams and changes the
 //! configuration, in series and overlapping. What callers, operators and
-//! upstreams saw is kept in a [`History`], which [`broken`] checks against what
+//! upstreams saw is kept in a [`History`], which [`violations`] checks against what
 //! the deployment promises.
 //!
 //! The schedule repeats for a seed; the timing of processes does not.
@@ -30,8 +30,8 @@
 
 use cluster::Cluster;
 
-pub use history::{Call, Disturbance, Ending, History, Kind, Order, Run, Target};
-pub use promise::{Bounds, Broken, broken};
+pub use history::{Call, Disturbance, History, Kind, Order, Outcome, Run, Target};
+pub use promise::{Bounds, Violation, violations};
 
 /// Callers at once.
 const CALLERS: usize = 12;
@@ -55,9 +55,9 @@
 #[derive(Debug)]
 pub struct Report {
     /// Promises that were broken.
-    pub broken: Vec<Broken>,
+    pub violations: Vec<Violation>,
     /// Calls by how they ended.
-    pub endings: Vec<(String, usize)>,
+    pub outcomes: Vec<(String, usize)>,
     /// Faults that were injected.
     pub faults: Vec<String>,
     /// Folder with the logs; kept if a promise was broken.
@@ -100,16 +100,16 @@
     operator.stop().await;
     cluster.read_back().await;
     let history = cluster.stop().await;
-    let broken = broken(&history, &Bounds::default());
-    let logs = (!broken.is_empty()).then(|| cluster.keep_logs());
+    let violations = violations(&history, &Bounds::default());
+    let logs = (!violations.is_empty()).then(|| cluster.keep_logs());
     Ok(Report {
-        endings: history.endings(),
+        outcomes: history.outcomes(),
         faults: history
             .disturbances
             .iter()
             .map(ToString::to_string)
             .collect(),
-        broken,
+        violations,
         logs,
     })
 }
--- a/dev/soak/src/main.rs
+++ b/dev/soak/src/main.rs
@@ -56,7 +56,7 @@
             ..asked.options.clone()
         };
         match runtime.block_on(run(&options)) {
-            Ok(report) if report.broken.is_empty() => print(seed, &report),
+            Ok(report) if report.violations.is_empty() => print(seed, &report),
             Ok(report) => {
                 print(seed, &report);
                 failed.push(seed);
@@ -100,18 +100,18 @@
 }
 
 fn print(seed: u64, report: &Report) {
-    let endings: Vec<String> = report
-        .endings
+    let outcomes: Vec<String> = report
+        .outcomes
         .iter()
-        .map(|(ending, count)| format!("{ending} {count}"))
+        .map(|(outcome, count)| format!("{outcome} {count}"))
         .collect();
     println!(
         "seed {seed}: {} faults; calls: {}",
         report.faults.len(),
-        endings.join(", ")
+        outcomes.join(", ")
     );
-    for broken in &report.broken {
-        println!("  broken: {broken}");
+    for violation in &report.violations {
+        println!("  broken: {violation}");
     }
     if let Some(logs) = &report.logs {
         for fault in &report.faults {
--- a/dev/soak/src/promise.rs
+++ b/dev/soak/src/promise.rs
@@ -2,7 +2,7 @@
 
 use derive_more::Display;
 
-use crate::history::{Call, Disturbance, Ending, History, Kind, Target};
+use crate::history::{Call, Disturbance, History, Kind, Outcome, Target};
 
 /// Time limits of the promises, ms, and attempts of a request.
 #[derive(Clone, Copy, Debug)]
@@ -12,11 +12,11 @@
     /// From the acknowledgement of leaving until an upstream gets nothing more.
     pub drain: u64,
     /// From the sending of a request until its entry has read it.
-    pub cross: u64,
+    pub transit: u64,
     /// Time that a process must have been in touch to count.
-    pub touch: u64,
+    pub undisturbed: u64,
     /// From the end of all faults until requests are served again.
-    pub recover: u64,
+    pub recovery: u64,
     /// From the signal to stop until a process has ended.
     pub grace: u64,
     /// Upstreams that one request may run at.
@@ -28,9 +28,9 @@
         Self {
             apply: 2_000,
             drain: 2_000,
-            cross: 200,
-            touch: 3_000,
-            recover: 12_000,
+            transit: 200,
+            undisturbed: 3_000,
+            recovery: 12_000,
             grace: 5_000,
             attempts: 2,
         }
@@ -39,7 +39,7 @@
 
 /// A promise that was broken.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
-pub enum Broken {
+pub enum Violation {
     /// A request that must run once ran more often.
     #[display("request {_0} ran {_1} times and must run once at most")]
     Twice(u64, usize),
@@ -73,7 +73,7 @@
 }
 
 /// Lists the promises that were broken.
-pub fn broken(history: &History, bounds: &Bounds) -> Vec<Broken> {
+pub fn violations(history: &History, bounds: &Bounds) -> Vec<Violation> {
     let mut found = Vec::new();
     runs(history, bounds, &mut found);
     for call in &history.calls {
@@ -84,37 +84,37 @@
     reads(history, &mut found);
     drains(history, bounds, &mut found);
     let back = history.recovered.unwrap_or(u64::MAX);
-    if back.saturating_sub(history.healed) > bounds.recover {
-        found.push(Broken::Recover(bounds.recover));
+    if back.saturating_sub(history.healed) > bounds.recovery {
+        found.push(Violation::Recover(bounds.recovery));
     }
     for (told, ended, code) in &history.stops {
         let took = ended - told;
         if took > bounds.grace || *code != Some(0) {
-            found.push(Broken::Stop(took, *code));
+            found.push(Violation::Stop(took, *code));
         }
     }
     found
 }
 
-fn runs(history: &History, bounds: &Bounds, found: &mut Vec<Broken>) {
+fn runs(history: &History, bounds: &Bounds, found: &mut Vec<Violation>) {
     for call in &history.calls {
         let runs = history.runs.get(&call.id).map_or(0, Vec::len);
         if call.kind == Kind::Once && runs > 1 {
-            found.push(Broken::Twice(call.id, runs));
+            found.push(Violation::Twice(call.id, runs));
         } else if runs > bounds.attempts {
-            found.push(Broken::Attempts(call.id, runs));
+            found.push(Violation::Attempts(call.id, runs));
         }
     }
 }
 
-fn answer(history: &History, call: &Call) -> Option<Broken> {
-    match &call.ending {
-        Ending::Refused(status @ (408 | 421 | 429 | 503))
+fn answer(history: &History, call: &Call) -> Option<Violation> {
+    match &call.outcome {
+        Outcome::Refused(status @ (408 | 421 | 429 | 503))
             if history.runs.contains_key(&call.id) =>
         {
-            Some(Broken::FalseRefusal(call.id, *status))
+            Some(Violation::FalseRefusal(call.id, *status))
         }
-        Ending::Wrong(what) => Some(Broken::Mixed(call.id, what.clone())),
+        Outcome::Wrong(what) => Some(Violation::Mixed(call.id, what.clone())),
         _ => None,
     }
 }
@@ -122,29 +122,29 @@
 /// A call that a planned stop cut, with nothing unplanned around it.
 ///
 /// One that crosses the close of its connection may be cut, unless it was passed on.
-fn cut(history: &History, bounds: &Bounds, call: &Call) -> Option<Broken> {
-    if call.ending != Ending::Broken {
+fn cut(history: &History, bounds: &Bounds, call: &Call) -> Option<Violation> {
+    if call.outcome != Outcome::Broken {
         return None;
     }
-    if call.ended - call.sent <= bounds.cross && !history.runs.contains_key(&call.id) {
+    if call.ended - call.sent <= bounds.transit && !history.runs.contains_key(&call.id) {
         return None;
     }
-    let span = call.sent.saturating_sub(bounds.touch)..=call.ended;
+    let span = call.sent.saturating_sub(bounds.undisturbed)..=call.ended;
     let unplanned = history
         .disturbances
         .iter()
         .any(|d| !d.planned && meets(d, &span));
-    (!unplanned).then_some(Broken::Cut(call.id, call.entry, call.ended))
+    (!unplanned).then_some(Violation::Cut(call.id, call.entry, call.ended))
 }
 
 /// A call on a route that only some versions have, handled by none that may be in force.
-fn version(history: &History, bounds: &Bounds, call: &Call) -> Option<Broken> {
+fn version(history: &History, bounds: &Bounds, call: &Call) -> Option<Violation> {
     let Kind::Parity(odd) = call.kind else {
         return None;
     };
-    let present = match &call.ending {
-        Ending::Refused(404) => false,
-        Ending::Whole => true,
+    let present = match &call.outcome {
+        Outcome::Refused(404) => false,
+        Outcome::Whole => true,
         _ => return None,
     };
     let settled = call.sent.checked_sub(bounds.apply)?;
@@ -160,21 +160,21 @@
     let fits = possible
         .into_iter()
         .any(|o| (o.version % 2 == u64::from(odd)) == present);
-    (!fits).then_some(Broken::Stale(call.id, call.sent, newest))
+    (!fits).then_some(Violation::Stale(call.id, call.sent, newest))
 }
 
-fn reads(history: &History, found: &mut Vec<Broken>) {
+fn reads(history: &History, found: &mut Vec<Violation>) {
     for (sent, version) in &history.reads {
         let acked = history.orders.iter();
         let acked = acked.filter(|o| o.acked.is_some_and(|at| at < *sent));
         let newest = acked.map(|o| o.version).max().unwrap_or(0);
         if *version < newest {
-            found.push(Broken::OldRead(*sent, *version, newest));
+            found.push(Violation::OldRead(*sent, *version, newest));
         }
     }
 }
 
-fn drains(history: &History, bounds: &Bounds, found: &mut Vec<Broken>) {
+fn drains(history: &History, bounds: &Bounds, found: &mut Vec<Violation>) {
     for (id, runs) in &history.runs {
         let Some(call) = history.calls.iter().find(|c| c.id == *id) else {
             continue;
@@ -189,7 +189,7 @@
             };
             let limit = acked + bounds.drain;
             if call.sent > *acked && run.at > limit && is_in_touch(history, bounds, call, run.at) {
-                found.push(Broken::Drain(*id, name.clone(), run.at - limit));
+                found.push(Violation::Drain(*id, name.clone(), run.at - limit));
             }
         }
     }
@@ -197,7 +197,7 @@
 
 /// Whether an entry and all replicas were undisturbed for a while before `at`.
 fn is_in_touch(history: &History, bounds: &Bounds, call: &Call, at: u64) -> bool {
-    let span = call.sent.saturating_sub(bounds.touch)..=at;
+    let span = call.sent.saturating_sub(bounds.undisturbed)..=at;
     let bears = |d: &&Disturbance| match d.target {
         Target::Entry(entry) => entry == call.entry,
         Target::Control(_) | Target::All => true,
--- a/dev/soak/tests/it/promise.rs
+++ b/dev/soak/tests/it/promise.rs
@@ -2,17 +2,17 @@
 
 use insta::assert_snapshot;
 use pimentotide_soak::{
-    Bounds, Call, Disturbance, Ending, History, Kind, Order, Run, Target, broken,
+    Bounds, Call, Disturbance, History, Kind, Order, Outcome, Run, Target, violations,
 };
 
-fn call(id: u64, kind: Kind, ending: Ending) -> Call {
+fn call(id: u64, kind: Kind, outcome: Outcome) -> Call {
     Call {
         id,
         kind,
         entry: 0,
         sent: 10_000,
         ended: 10_500,
-        ending,
+        outcome,
     }
 }
 
@@ -51,20 +51,20 @@
 }
 
 fn found(history: &History) -> String {
-    let broken = broken(history, &Bounds::default());
-    let lines: Vec<String> = broken.iter().map(ToString::to_string).collect();
+    let violations = violations(history, &Bounds::default());
+    let lines: Vec<String> = violations.iter().map(ToString::to_string).collect();
     lines.join("\n")
 }
 
 #[test]
 fn nothing_is_found_where_nothing_is_broken() {
     let mut history = history(vec![
-        call(1, Kind::Once, Ending::Whole),
-        call(2, Kind::Repeatable, Ending::Whole),
-        call(3, Kind::Stream, Ending::Refused(503)),
-        call(4, Kind::Parity(true), Ending::Whole),
-        call(5, Kind::Parity(false), Ending::Refused(404)),
-        call(6, Kind::Repeatable, Ending::Broken),
+        call(1, Kind::Once, Outcome::Whole),
+        call(2, Kind::Repeatable, Outcome::Whole),
+        call(3, Kind::Stream, Outcome::Refused(503)),
+        call(4, Kind::Parity(true), Outcome::Whole),
+        call(5, Kind::Parity(false), Outcome::Refused(404)),
+        call(6, Kind::Repeatable, Outcome::Broken),
     ]);
     history.runs.insert(1, vec![run("u1", 10_100)]);
     history
@@ -80,10 +80,10 @@
 #[test]
 fn runs_beyond_what_is_allowed_are_found() {
     let mut history = history(vec![
-        call(1, Kind::Once, Ending::Whole),
-        call(2, Kind::Repeatable, Ending::Whole),
-        call(3, Kind::Stream, Ending::Refused(503)),
-        call(4, Kind::Stream, Ending::Wrong("another".to_owned())),
+        call(1, Kind::Once, Outcome::Whole),
+        call(2, Kind::Repeatable, Outcome::Whole),
+        call(3, Kind::Stream, Outcome::Refused(503)),
+        call(4, Kind::Stream, Outcome::Wrong("another".to_owned())),
     ]);
     history.runs.insert(1, vec![run("u1", 1), run("u2", 2)]);
     history
@@ -100,7 +100,7 @@
 
 #[test]
 fn a_cut_counts_only_where_nothing_but_planned_work_went_on() {
-    let mut history = history(vec![call(1, Kind::Once, Ending::Broken)]);
+    let mut history = history(vec![call(1, Kind::Once, Outcome::Broken)]);
     history.disturbances = vec![disturbed(true, Target::Entry(0))];
     assert_snapshot!(found(&history), @"request 1 at entry 0 was cut at 10500 ms with planned work only");
     history
@@ -111,7 +111,7 @@
 
 #[test]
 fn a_request_that_crosses_a_close_may_be_cut_unless_it_was_passed_on() {
-    let mut crossing = call(1, Kind::Once, Ending::Broken);
+    let mut crossing = call(1, Kind::Once, Outcome::Broken);
     crossing.ended = crossing.sent + 150;
     let mut history = history(vec![crossing]);
     assert_eq!(found(&history), "");
@@ -122,8 +122,8 @@
 #[test]
 fn a_configuration_that_is_not_in_force_in_time_is_found() {
     let mut history = history(vec![
-        call(1, Kind::Parity(true), Ending::Whole),
-        call(2, Kind::Parity(false), Ending::Refused(404)),
+        call(1, Kind::Parity(true), Outcome::Whole),
+        call(2, Kind::Parity(false), Outcome::Refused(404)),
     ]);
     history.orders = vec![order(7, 1_000, 1_200), order(8, 5_000, 5_200)];
     history.reads = vec![(6_000, 7), (5_100, 7)];
@@ -140,7 +140,7 @@
 
 #[test]
 fn an_upstream_that_left_gets_nothing_from_entries_in_touch() {
-    let mut history = history(vec![call(1, Kind::Repeatable, Ending::Whole)]);
+    let mut history = history(vec![call(1, Kind::Repeatable, Outcome::Whole)]);
     history.runs.insert(1, vec![run("u1.1", 10_100)]);
     history.drains = vec![("u1.1".to_owned(), 7_500)];
     assert_snapshot!(found(&history), @"request 1 reached u1.1, which was leaving, 600 ms too late");
