--- a/dev/soak/src/caller.rs
+++ b/dev/soak/src/caller.rs
@@ -1,4 +1,4 @@
-//! Callers that keep connections, pick entries and note what they get.
+//! Callers that reuse connections, call entries at random and record each outcome.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -13,18 +13,18 @@
 use tokio::task::JoinHandle;
 
 use crate::cluster::Cluster;
-use crate::history::{Call, Kind, Notes, Outcome};
+use crate::history::{Call, Kind, Outcome, Recorder};
 use crate::upstream::{EVENTS, body_of, event_of};
 use pimentotide_wire::{Message, Template, read_message};
 
-/// Longest wait for an answer; longer than any deadline that is sent.
-const PATIENCE: Duration = Duration::from_millis(4_600);
-/// Longest wait for a connection.
-const CONNECT: Duration = Duration::from_millis(500);
-/// Time between two requests of a caller, ms.
+/// Timeout of a call; exceeds every deadline that a request carries.
+const CALL_TIMEOUT: Duration = Duration::from_millis(4_600);
+/// Timeout for establishing a connection.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+/// Pause of a caller between two requests, in milliseconds.
 const PAUSE_MS: std::ops::Range<u64> = 5..60;
-/// Part of the requests for which a kept connection is used if there is one.
-const KEPT: f64 = 0.8;
+/// Share of the requests that reuse an idle connection if one is open.
+const REUSE_RATIO: f64 = 0.8;
 
 /// Running callers.
 pub(crate) struct Callers {
@@ -33,21 +33,21 @@
 }
 
 impl Callers {
-    /// Waits until all have their last answer.
+    /// Stops the callers and waits until their last calls have ended.
     pub(crate) async fn stop(self) {
         self.stop.store(true, Ordering::SeqCst);
         for task in self.tasks {
-            // A caller that panicked has printed why.
+            // The panic handler has already printed the cause of a panic.
             let _ = task.await;
         }
     }
 }
 
-/// Number of requests so far, of all callers.
+/// Source of request numbers, shared by all callers.
 #[derive(Debug, Default)]
-pub(crate) struct Requests(AtomicU64);
+pub(crate) struct RequestIds(AtomicU64);
 
-impl Requests {
+impl RequestIds {
     fn next(&self) -> u64 {
         self.0.fetch_add(1, Ordering::SeqCst) + 1
     }
@@ -71,41 +71,42 @@
     Callers { stop, tasks }
 }
 
-/// One caller.
+/// A caller with its idle connections by entry.
 pub(crate) struct Caller {
-    notes: Arc<Notes>,
-    requests: Arc<Requests>,
+    recorder: Arc<Recorder>,
+    request_ids: Arc<RequestIds>,
     entries: Vec<SocketAddr>,
     template: Template,
-    kept: BTreeMap<usize, TcpStream>,
+    idle: BTreeMap<usize, TcpStream>,
     rng: ChaCha8Rng,
 }
 
 impl Caller {
     pub(crate) fn new(cluster: &Cluster, seed: u64) -> Self {
         Self {
-            notes: cluster.notes.clone(),
-            requests: cluster.requests.clone(),
+            recorder: cluster.recorder.clone(),
+            request_ids: cluster.request_ids.clone(),
             entries: cluster.entry_addresses(),
             template: cluster.call.clone(),
-            kept: BTreeMap::new(),
+            idle: BTreeMap::new(),
             rng: ChaCha8Rng::seed_from_u64(seed),
         }
     }
 
-    /// Sends one request and notes how it ends; true if it was served.
+    /// Sends one request and records its outcome; true if it was served.
     pub(crate) async fn call(&mut self) -> bool {
         let kind = self.draw_kind();
         let entry = self.rng.random_range(0..self.entries.len());
-        let id = self.requests.next();
-        let sent = self.notes.now();
-        let outcome = match tokio::time::timeout(PATIENCE, self.exchange(entry, id, kind)).await {
+        let id = self.request_ids.next();
+        let sent = self.recorder.now();
+        let outcome = match tokio::time::timeout(CALL_TIMEOUT, self.exchange(entry, id, kind)).await
+        {
             Ok(outcome) => outcome,
             Err(_) => Outcome::Late,
         };
-        let ended = self.notes.now();
+        let ended = self.recorder.now();
         let served = outcome == Outcome::Whole;
-        self.notes.history().calls.push(Call {
+        self.recorder.history().calls.push(Call {
             id,
             kind,
             entry,
@@ -126,13 +127,13 @@
     }
 
     async fn exchange(&mut self, entry: usize, id: u64, kind: Kind) -> Outcome {
-        let kept = self.kept.remove(&entry);
-        let kept = kept.filter(|_| self.rng.random_bool(KEPT));
-        let mut stream = match kept.filter(is_open) {
+        let idle = self.idle.remove(&entry);
+        let idle = idle.filter(|_| self.rng.random_bool(REUSE_RATIO));
+        let mut stream = match idle.filter(is_open) {
             Some(stream) => stream,
             None => {
                 let connecting = TcpStream::connect(self.entries[entry]);
-                match tokio::time::timeout(CONNECT, connecting).await {
+                match tokio::time::timeout(CONNECT_TIMEOUT, connecting).await {
                     Ok(Ok(stream)) => stream,
                     Ok(Err(_)) | Err(_) => return Outcome::Unconnected,
                 }
@@ -155,20 +156,20 @@
             return Outcome::Broken;
         };
         if answer.keeps_connection() {
-            self.kept.insert(entry, stream);
+            self.idle.insert(entry, stream);
         }
-        judge(&answer, id, kind)
+        classify(&answer, id, kind)
     }
 }
 
-/// Whether the entry has neither closed a kept connection nor sent anything.
+/// Whether the entry has neither closed an idle connection nor sent data on it.
 fn is_open(stream: &TcpStream) -> bool {
     let mut byte = [0];
     matches!(stream.try_read(&mut byte), Err(e) if e.kind() == std::io::ErrorKind::WouldBlock)
 }
 
-/// Compares an answer with the one that belongs to the request.
-fn judge(answer: &Message, id: u64, kind: Kind) -> Outcome {
+/// Classifies an answer by comparing it with the expected one.
+fn classify(answer: &Message, id: u64, kind: Kind) -> Outcome {
     if answer.status() != 200 {
         return if answer.whole {
             Outcome::Refused(answer.status())
--- a/dev/soak/src/cluster.rs
+++ b/dev/soak/src/cluster.rs
@@ -1,4 +1,4 @@
-//! The processes under test and what stands around them.
+//! The processes under test, with the proxies and stand-in upstreams around them.
 
 use std::fs;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -12,31 +12,33 @@
 use tokio::net::TcpStream;
 use tokio::sync::Mutex;
 
-use crate::caller::{Caller, Requests};
-use crate::history::{Disturbance, History, Notes, Target};
-use crate::proxy::{Passing, Proxy};
-use crate::upstream::{Mood, StandIn};
+use crate::caller::{Caller, RequestIds};
+use crate::history::{Disturbance, History, Recorder, Target};
+use crate::proxy::{Forwarding, Proxy};
+use crate::upstream::{Mode, StandIn};
 use crate::{SoakError, SoakOptions, operator};
 use pimentotide_wire::{Message, Template, read_message};
 
-/// Control replicas, entries and upstreams.
+/// Number of control replicas.
 pub(crate) const CONTROLS: usize = 3;
+/// Number of entries.
 pub(crate) const ENTRIES: usize = 3;
+/// Number of stand-in upstreams.
 pub(crate) const UPSTREAMS: usize = 5;
-/// Longest wait for an operator's answer.
-const ASK_LIMIT: Duration = Duration::from_secs(1);
-/// Time that a stop may take, as the settings say, seconds.
+/// Timeout of an operator's request.
+const CONTROL_TIMEOUT: Duration = Duration::from_secs(1);
+/// Grace period of a stop in the settings files, in seconds.
 const GRACE_S: u64 = 4;
-/// Longest wait for the end of a process that stops.
-const STOP_LIMIT: Duration = Duration::from_secs(15);
+/// Timeout for the exit of a process that is stopping.
+const STOP_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// A process that is started anew on the same settings.
+/// A process that can be restarted on the same settings.
 #[derive(Debug)]
 pub(crate) struct Member {
     pub(crate) process: Process,
     settings: PathBuf,
-    /// Settings of all later starts.
-    again: String,
+    /// Settings of every restart: as at first, without `first_start`.
+    restart_settings: String,
     pub(crate) data: PathBuf,
 }
 
@@ -45,8 +47,8 @@
 pub(crate) struct Cluster {
     binary: PathBuf,
     folder: tempfile::TempDir,
-    pub(crate) notes: Arc<Notes>,
-    pub(crate) requests: Arc<Requests>,
+    pub(crate) recorder: Arc<Recorder>,
+    pub(crate) request_ids: Arc<RequestIds>,
     pub(crate) call: Template,
     declare: Template,
     read: Template,
@@ -66,7 +68,7 @@
             .collect();
         let port = free_ports(&hosts);
         let port = port.ok_or_else(|| SoakError::Process("no free ports".to_owned()))?;
-        let plan = Plan {
+        let layout = Layout {
             folder: folder.path(),
             network: options.network,
             port,
@@ -74,26 +76,26 @@
         let (mut controls, mut entries) = (Vec::new(), Vec::new());
         let (mut control_proxies, mut entry_proxies) = (Vec::new(), Vec::new());
         for number in 0..CONTROLS {
-            let (member, listener) = plan.member(&options.binary, "control", number)?;
+            let (member, listener) = layout.spawn_member(&options.binary, "control", number)?;
             controls.push(Mutex::new(member));
             control_proxies.push(Proxy::bind(listener).await?);
         }
         for number in 0..ENTRIES {
-            let (member, listener) = plan.member(&options.binary, "entry", number)?;
+            let (member, listener) = layout.spawn_member(&options.binary, "entry", number)?;
             entries.push(Mutex::new(member));
             entry_proxies.push(Proxy::bind(listener).await?);
         }
-        let notes = Arc::new(Notes::new());
+        let recorder = Arc::new(Recorder::new());
         let addresses: Vec<SocketAddr> = control_proxies.iter().map(Proxy::address).collect();
         let mut upstreams = Vec::new();
         for number in 0..UPSTREAMS {
-            upstreams.push(StandIn::spawn(number, addresses.clone(), notes.clone()).await?);
+            upstreams.push(StandIn::spawn(number, addresses.clone(), recorder.clone()).await?);
         }
         Ok(Self {
             binary: options.binary.clone(),
             folder,
-            notes,
-            requests: Arc::default(),
+            recorder,
+            request_ids: Arc::default(),
             call: Template::open("soak/call.http")?,
             declare: Template::open("soak/declare.http")?,
             read: Template::open("soak/read.http")?,
@@ -109,7 +111,7 @@
         self.entry_proxies.iter().map(Proxy::address).collect()
     }
 
-    /// Order to take a version over; odd versions have another route than even ones.
+    /// Request that declares a version; odd and even versions have different routes.
     pub(crate) fn declaration(&self, version: u64) -> String {
         let parity = if version % 2 == 1 { "odd" } else { "even" };
         let version = version.to_string();
@@ -121,29 +123,38 @@
         self.read.fill(&[])
     }
 
-    /// Asks some replica, as an operator.
-    pub(crate) async fn ask_control(&self, message: &str) -> Option<Message> {
+    /// Sends an operator's request to a random replica; `None` without a complete answer.
+    pub(crate) async fn send_to_control(&self, message: &str) -> Option<Message> {
         let number = rand::rng().random_range(0..CONTROLS);
         let address = self.control_proxies[number].address();
-        let asking = async {
+        let exchange = async {
             let mut stream = TcpStream::connect(address).await.ok()?;
             stream.write_all(message.as_bytes()).await.ok()?;
             read_message(&mut stream).await.filter(|m| m.complete)
         };
-        tokio::time::timeout(ASK_LIMIT, asking).await.ok().flatten()
+        tokio::time::timeout(CONTROL_TIMEOUT, exchange)
+            .await
+            .ok()
+            .flatten()
     }
 
-    /// Starts a process anew on its settings.
+    /// Starts a process again on its settings.
     pub(crate) fn restart(&self, member: &mut Member) -> Result<(), String> {
-        fs::write(&member.settings, &member.again).map_err(|e| e.to_string())?;
+        fs::write(&member.settings, &member.restart_settings).map_err(|e| e.to_string())?;
         member.process = Process::spawn(&self.binary, "serve", &member.settings)?;
         Ok(())
     }
 
-    /// Notes a fault or planned work that began at `from` and is over now.
-    pub(crate) fn note(&self, name: &'static str, target: Target, planned: bool, from: u64) {
-        let until = self.notes.now();
-        self.notes.history().disturbances.push(Disturbance {
+    /// Records a fault or planned work that began at `from` and ends now.
+    pub(crate) fn record_disturbance(
+        &self,
+        name: &'static str,
+        target: Target,
+        planned: bool,
+        from: u64,
+    ) {
+        let until = self.recorder.now();
+        self.recorder.history().disturbances.push(Disturbance {
             name,
             target,
             planned,
@@ -152,7 +163,7 @@
         });
     }
 
-    /// Whether each entry serves a request within `limit`.
+    /// Whether more than `2 * ENTRIES` requests in a row are served within `limit`.
     pub(crate) async fn serves_within(&self, limit: Duration) -> bool {
         let end = Instant::now() + limit;
         let mut caller = Caller::new(self, 0);
@@ -167,28 +178,28 @@
         false
     }
 
-    /// Ends what still disturbs connections and upstreams.
+    /// Ends the faults of connections and upstreams.
     pub(crate) async fn heal(&self) {
         for proxy in self.control_proxies.iter().chain(&self.entry_proxies) {
-            proxy.set(Passing::Plain);
+            proxy.set_forwarding(Forwarding::Plain);
         }
         for upstream in &self.upstreams {
-            upstream.proxy.set(Passing::Plain);
-            upstream.set(Mood::Sound);
+            upstream.proxy.set_forwarding(Forwarding::Plain);
+            upstream.set_mode(Mode::Normal);
         }
-        let now = self.notes.now();
-        self.notes.history().healed = now;
+        let now = self.recorder.now();
+        self.recorder.history().healed = now;
     }
 
-    /// Reads the configuration at the end until some replica tells it.
+    /// Reads the final configuration, with retries until a replica returns it.
     pub(crate) async fn read_back(&self) {
-        let end = Instant::now() + STOP_LIMIT;
+        let end = Instant::now() + STOP_TIMEOUT;
         while Instant::now() < end && !operator::read(self).await {
             tokio::time::sleep(Duration::from_millis(100)).await;
         }
     }
 
-    /// Ends all processes; planned for entries, whose ends are noted.
+    /// Stops the entries gracefully, records their exits and kills the replicas.
     pub(crate) async fn stop(&self) -> History {
         for entry in &self.entries {
             self.stop_entry(&mut *entry.lock().await).await;
@@ -196,24 +207,24 @@
         for control in &self.controls {
             control.lock().await.process.kill();
         }
-        self.notes.history().clone()
+        self.recorder.history().clone()
     }
 
-    /// Tells an entry to stop, waits until it has and notes that.
+    /// Signals an entry to stop, waits until it exits and records the stop.
     pub(crate) async fn stop_entry(&self, entry: &mut Member) {
-        let told = self.notes.now();
+        let signalled = self.recorder.now();
         entry.process.terminate();
-        let end = Instant::now() + STOP_LIMIT;
-        while Instant::now() < end && !entry.process.has_exited() {
+        let end = Instant::now() + STOP_TIMEOUT;
+        while Instant::now() < end && !entry.process.has_ended() {
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
         let code = entry.process.exit_code();
         entry.process.kill();
-        let ended = self.notes.now();
-        self.notes.history().stops.push((told, ended, code));
+        let ended = self.recorder.now();
+        self.recorder.history().stops.push((signalled, ended, code));
     }
 
-    /// Copies the logs to a folder that stays.
+    /// Copies the logs to a folder that outlives the soak.
     pub(crate) fn keep_logs(&self) -> PathBuf {
         let kept = std::env::temp_dir().join(format!("soak-{}", std::process::id()));
         let copied = fs::create_dir_all(&kept).and_then(|()| {
@@ -225,22 +236,22 @@
             Ok(())
         });
         if let Err(e) = copied {
-            eprintln!("the logs are not kept whole: {e}");
+            eprintln!("copying the logs failed: {e}");
         }
         kept
     }
 }
 
-/// Where processes find their addresses and files.
-struct Plan<'a> {
+/// Addresses and files of the processes.
+struct Layout<'a> {
     folder: &'a Path,
     network: u8,
     port: u16,
 }
 
-impl Plan<'_> {
-    /// Starts a process; returns it and the address that others use.
-    fn member(
+impl Layout<'_> {
+    /// Starts a process; returns it with the address that its clients use.
+    fn spawn_member(
         &self,
         binary: &Path,
         role: &str,
@@ -274,7 +285,7 @@
         let member = Member {
             process,
             settings,
-            again: text.replace("first_start: true", "first_start: false"),
+            restart_settings: text.replace("first_start: true", "first_start: false"),
             data,
         };
         Ok((member, SocketAddr::new(own, port + offset)))
--- a/dev/soak/src/fault.rs
+++ b/dev/soak/src/fault.rs
@@ -1,54 +1,58 @@
-//! One fault, from its beginning until it is over.
+//! Faults and planned work: injects one, waits and ends it.
 
 use std::fs;
 use std::time::Duration;
 
 use crate::cluster::{Cluster, Member};
 use crate::history::Target;
-use crate::proxy::Passing;
-use crate::upstream::Mood;
+use crate::proxy::Forwarding;
+use crate::upstream::Mode;
 
-/// Time for which an upstream that leaves goes on after it has been heard.
-const LEAVING: Duration = Duration::from_millis(3_500);
+/// Time for which a draining upstream keeps serving before it withdraws.
+const DRAIN_TIME: Duration = Duration::from_millis(3_500);
 
-/// What can be done to a deployment.
+/// A fault, or planned work, with the number of its target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Fault {
-    /// Kills a process and starts it anew later.
+    /// Kills a process and restarts it later.
     KillControl(usize),
     KillEntry(usize),
-    /// Kills a replica, takes its data away and starts it anew.
+    /// Kills a replica, deletes its data and restarts it.
     WipeControl(usize),
-    /// Kills all processes at once.
+    /// Kills all processes at once and restarts them later.
     KillAll,
     /// Freezes a process for a while.
     PauseControl(usize),
     PauseEntry(usize),
-    /// Disturbs the connections to a process or an upstream.
-    LinkControl(usize, Link),
-    LinkEntry(usize, Link),
-    LinkUpstream(usize, Link),
-    /// Has an upstream misbehave for a while.
-    MoodHanging(usize),
-    MoodFull(usize),
-    MoodCutting(usize),
-    /// Crashes an upstream and starts it anew later.
+    /// Disturbs the connections to a process or an upstream for a while.
+    LinkControl(usize, LinkFault),
+    LinkEntry(usize, LinkFault),
+    LinkUpstream(usize, LinkFault),
+    /// Switches an upstream to a faulty mode for a while.
+    HangUpstream(usize),
+    OverloadUpstream(usize),
+    TruncateUpstream(usize),
+    /// Crashes an upstream and restarts it later.
     CrashUpstream(usize),
-    /// Planned: stops an entry and starts it anew.
+    /// Planned: stops an entry gracefully and restarts it.
     StopEntry(usize),
-    /// Planned: tells processes that their settings have changed.
+    /// Planned: signals a process to reload its settings.
     ReloadControl(usize),
     ReloadEntry(usize),
-    /// Planned: an upstream leaves in order and another one takes its place.
-    LeaveUpstream(usize),
+    /// Planned: drains an upstream and replaces it by a new one.
+    DrainUpstream(usize),
 }
 
-/// What happens to connections.
+/// A fault of the connections to one target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Link {
+pub(crate) enum LinkFault {
+    /// Bytes are delayed in both directions.
     Delayed,
+    /// No bytes pass in either direction.
     Silent,
+    /// Bytes pass towards the target only.
     OneWay,
+    /// All connections are reset once.
     Reset,
 }
 
@@ -60,7 +64,7 @@
             Self::StopEntry(_)
                 | Self::ReloadControl(_)
                 | Self::ReloadEntry(_)
-                | Self::LeaveUpstream(_)
+                | Self::DrainUpstream(_)
         )
     }
 
@@ -75,52 +79,60 @@
             Self::LinkControl(n, _) => ("link", Target::Control(n)),
             Self::LinkEntry(n, _) => ("link", Target::Entry(n)),
             Self::LinkUpstream(n, _) => ("link", Target::Upstream(n)),
-            Self::MoodHanging(n) => ("hang", Target::Upstream(n)),
-            Self::MoodFull(n) => ("full", Target::Upstream(n)),
-            Self::MoodCutting(n) => ("cut", Target::Upstream(n)),
+            Self::HangUpstream(n) => ("hang", Target::Upstream(n)),
+            Self::OverloadUpstream(n) => ("full", Target::Upstream(n)),
+            Self::TruncateUpstream(n) => ("cut", Target::Upstream(n)),
             Self::CrashUpstream(n) => ("crash", Target::Upstream(n)),
             Self::StopEntry(n) => ("stop", Target::Entry(n)),
             Self::ReloadControl(n) => ("reload", Target::Control(n)),
             Self::ReloadEntry(n) => ("reload", Target::Entry(n)),
-            Self::LeaveUpstream(n) => ("leave", Target::Upstream(n)),
+            Self::DrainUpstream(n) => ("leave", Target::Upstream(n)),
         }
     }
 
-    /// Injects the fault and ends it after `lasting`; nothing if its target is disturbed already.
-    pub(crate) async fn play(self, cluster: &Cluster, lasting: Duration) {
-        let from = cluster.notes.now();
-        let played = match self {
-            Self::KillControl(n) => replace(cluster, &cluster.controls[n], lasting, false).await,
-            Self::KillEntry(n) => replace(cluster, &cluster.entries[n], lasting, false).await,
-            Self::WipeControl(n) => replace(cluster, &cluster.controls[n], lasting, true).await,
-            Self::KillAll => kill_all(cluster, lasting).await,
-            Self::PauseControl(n) => pause(&cluster.controls[n], lasting).await,
-            Self::PauseEntry(n) => pause(&cluster.entries[n], lasting).await,
-            Self::LinkControl(n, link) => disturb(&cluster.control_proxies[n], link, lasting).await,
-            Self::LinkEntry(n, link) => disturb(&cluster.entry_proxies[n], link, lasting).await,
+    /// Injects the fault and ends it after `duration`; skips a process that is disturbed already.
+    pub(crate) async fn inject(self, cluster: &Cluster, duration: Duration) {
+        let from = cluster.recorder.now();
+        let injected = match self {
+            Self::KillControl(n) => {
+                kill_and_restart(cluster, &cluster.controls[n], duration, false).await
+            }
+            Self::KillEntry(n) => {
+                kill_and_restart(cluster, &cluster.entries[n], duration, false).await
+            }
+            Self::WipeControl(n) => {
+                kill_and_restart(cluster, &cluster.controls[n], duration, true).await
+            }
+            Self::KillAll => kill_all(cluster, duration).await,
+            Self::PauseControl(n) => pause(&cluster.controls[n], duration).await,
+            Self::PauseEntry(n) => pause(&cluster.entries[n], duration).await,
+            Self::LinkControl(n, link) => {
+                disturb(&cluster.control_proxies[n], link, duration).await
+            }
+            Self::LinkEntry(n, link) => disturb(&cluster.entry_proxies[n], link, duration).await,
             Self::LinkUpstream(n, link) => {
-                disturb(&cluster.upstreams[n].proxy, link, lasting).await
+                disturb(&cluster.upstreams[n].proxy, link, duration).await
             }
-            Self::MoodHanging(n) => mood(cluster, n, Mood::Hanging, lasting).await,
-            Self::MoodFull(n) => mood(cluster, n, Mood::Full, lasting).await,
-            Self::MoodCutting(n) => mood(cluster, n, Mood::Cutting, lasting).await,
-            Self::CrashUpstream(n) => crash(cluster, n, lasting).await,
+            Self::HangUpstream(n) => misbehave(cluster, n, Mode::Hanging, duration).await,
+            Self::OverloadUpstream(n) => misbehave(cluster, n, Mode::Full, duration).await,
+            Self::TruncateUpstream(n) => misbehave(cluster, n, Mode::Truncating, duration).await,
+            Self::CrashUpstream(n) => crash(cluster, n, duration).await,
             Self::StopEntry(n) => stop(cluster, n).await,
             Self::ReloadControl(n) => reload(&cluster.controls[n]),
             Self::ReloadEntry(n) => reload(&cluster.entries[n]),
-            Self::LeaveUpstream(n) => leave(cluster, n).await,
+            Self::DrainUpstream(n) => drain(cluster, n).await,
         };
-        if played {
+        if injected {
             let (name, target) = self.name_and_target();
-            cluster.note(name, target, self.is_planned(), from);
+            cluster.record_disturbance(name, target, self.is_planned(), from);
         }
     }
 }
 
-async fn replace(
+async fn kill_and_restart(
     cluster: &Cluster,
     member: &tokio::sync::Mutex<Member>,
-    lasting: Duration,
+    duration: Duration,
     wipe: bool,
 ) -> bool {
     let Ok(mut member) = member.try_lock() else {
@@ -130,18 +142,18 @@
     if wipe && let Err(e) = fs::remove_dir_all(&member.data) {
         eprintln!("{}: {e}", member.data.display());
     }
-    tokio::time::sleep(lasting).await;
+    tokio::time::sleep(duration).await;
     start(cluster, &mut member);
     true
 }
 
 fn start(cluster: &Cluster, member: &mut Member) {
     if let Err(e) = cluster.restart(member) {
-        eprintln!("a process does not start: {e}");
+        eprintln!("starting a process failed: {e}");
     }
 }
 
-async fn kill_all(cluster: &Cluster, lasting: Duration) -> bool {
+async fn kill_all(cluster: &Cluster, duration: Duration) -> bool {
     let mut members = Vec::new();
     for member in cluster.controls.iter().chain(&cluster.entries) {
         members.push(member.lock().await);
@@ -149,53 +161,53 @@
     for member in &mut members {
         member.process.kill();
     }
-    tokio::time::sleep(lasting).await;
+    tokio::time::sleep(duration).await;
     for member in &mut members {
         start(cluster, member);
     }
     true
 }
 
-async fn pause(member: &tokio::sync::Mutex<Member>, lasting: Duration) -> bool {
+async fn pause(member: &tokio::sync::Mutex<Member>, duration: Duration) -> bool {
     let Ok(member) = member.try_lock() else {
         return false;
     };
     member.process.pause();
-    tokio::time::sleep(lasting).await;
+    tokio::time::sleep(duration).await;
     member.process.resume();
     true
 }
 
-async fn disturb(proxy: &crate::proxy::Proxy, link: Link, lasting: Duration) -> bool {
+async fn disturb(proxy: &crate::proxy::Proxy, link: LinkFault, duration: Duration) -> bool {
     match link {
-        Link::Delayed => proxy.set(Passing::Delayed(Duration::from_millis(40))),
-        Link::Silent => proxy.set(Passing::Silent),
-        Link::OneWay => proxy.set(Passing::OneWay),
-        Link::Reset => proxy.reset(),
+        LinkFault::Delayed => proxy.set_forwarding(Forwarding::Delayed(Duration::from_millis(40))),
+        LinkFault::Silent => proxy.set_forwarding(Forwarding::Silent),
+        LinkFault::OneWay => proxy.set_forwarding(Forwarding::OneWay),
+        LinkFault::Reset => proxy.reset(),
     }
-    tokio::time::sleep(lasting).await;
-    proxy.set(Passing::Plain);
+    tokio::time::sleep(duration).await;
+    proxy.set_forwarding(Forwarding::Plain);
     true
 }
 
-async fn mood(cluster: &Cluster, number: usize, mood: Mood, lasting: Duration) -> bool {
-    cluster.upstreams[number].set(mood);
-    tokio::time::sleep(lasting).await;
-    cluster.upstreams[number].set(Mood::Sound);
+async fn misbehave(cluster: &Cluster, number: usize, mode: Mode, duration: Duration) -> bool {
+    cluster.upstreams[number].set_mode(mode);
+    tokio::time::sleep(duration).await;
+    cluster.upstreams[number].set_mode(Mode::Normal);
     true
 }
 
-async fn crash(cluster: &Cluster, number: usize, lasting: Duration) -> bool {
+async fn crash(cluster: &Cluster, number: usize, duration: Duration) -> bool {
     let upstream = &cluster.upstreams[number];
     upstream.crash().await;
-    tokio::time::sleep(lasting).await;
+    tokio::time::sleep(duration).await;
     restart(upstream).await;
     true
 }
 
 async fn restart(upstream: &crate::upstream::StandIn) {
     if let Err(e) = upstream.start().await {
-        eprintln!("an upstream does not start: {e}");
+        eprintln!("starting an upstream failed: {e}");
     }
 }
 
@@ -216,11 +228,11 @@
     true
 }
 
-async fn leave(cluster: &Cluster, number: usize) -> bool {
+async fn drain(cluster: &Cluster, number: usize) -> bool {
     let upstream = &cluster.upstreams[number];
-    upstream.leave().await;
-    tokio::time::sleep(LEAVING).await;
-    upstream.finish().await;
+    upstream.start_drain().await;
+    tokio::time::sleep(DRAIN_TIME).await;
+    upstream.withdraw().await;
     restart(upstream).await;
     true
 }
--- a/dev/soak/src/promise.rs
+++ b/dev/soak/src/guarantee.rs
@@ -1,25 +1,25 @@
-//! What the deployment promises, checked against what was seen.
+//! Checks of a recorded history against the guarantees of the deployment.
 
 use derive_more::Display;
 
 use crate::history::{Call, Disturbance, History, Kind, Outcome, Target};
 
-/// Time limits of the promises, ms, and attempts of a request.
+/// Limits of the guarantees; times are in milliseconds.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
-    /// From the acknowledgement of a configuration until it is in force everywhere.
+    /// From the acknowledgement of a configuration until it is in force at every entry.
     pub apply: u64,
-    /// From the acknowledgement of leaving until an upstream gets nothing more.
+    /// From the acknowledgement of a drain until the upstream receives no more requests.
     pub drain: u64,
-    /// From the sending of a request until its entry has read it.
+    /// From the sending of a request until its entry has read it; a close may cross it until then.
     pub transit: u64,
-    /// Time that a process must have been in touch to count.
+    /// Time for which a process must have been undisturbed for its guarantees to hold.
     pub undisturbed: u64,
     /// From the end of all faults until requests are served again.
     pub recovery: u64,
-    /// From the signal to stop until a process has ended.
+    /// From the signal to stop until a process has exited.
     pub grace: u64,
-    /// Upstreams that one request may run at.
+    /// Maximum number of runs of one request.
     pub attempts: usize,
 }
 
@@ -37,58 +37,58 @@
     }
 }
 
-/// A promise that was broken.
+/// Violation of a guarantee; times are in milliseconds.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 pub enum Violation {
-    /// A request that must run once ran more often.
-    #[display("request {_0} ran {_1} times and must run once at most")]
+    /// A request that is not idempotent ran more than once.
+    #[display("request {_0} ran {_1} times; at most one run is allowed")]
     Twice(u64, usize),
-    /// A request ran at more upstreams than its route allows.
-    #[display("request {_0} ran {_1} times, more than its attempts")]
+    /// A request ran more often than its route allows attempts.
+    #[display("request {_0} ran {_1} times, more than its allowed attempts")]
     Attempts(u64, usize),
-    /// A refusal said that a request had not run, and it had.
-    #[display("request {_0} was refused with {_1}, which says that it has not run, and it had")]
+    /// A request had run although its refusal means that it has not.
+    #[display("request {_0} was refused with {_1} (not run) although it had run")]
     FalseRefusal(u64, u16),
-    /// An answer was not that of its request, or not whole.
+    /// An answer differed from the expected one of its request.
     #[display("request {_0} got a wrong answer: {_1}")]
     Mixed(u64, String),
-    /// A request was cut although nothing but planned work went on.
-    #[display("request {_0} at entry {_1} was cut at {_2} ms with planned work only")]
+    /// A call was interrupted although no fault was active near it.
+    #[display("request {_0} at entry {_1} was interrupted at {_2} ms without a fault")]
     Cut(u64, usize, u64),
-    /// A configuration was not in force in time, or came back.
-    #[display("request {_0} at {_1} ms was handled by another version than {_2}")]
+    /// A configuration was not in force in time, or an older one was in force again.
+    #[display("request {_0} at {_1} ms was not handled by version {_2} or a newer one")]
     Stale(u64, u64, u64),
-    /// A read gave an older version than one acknowledged before.
-    #[display("a read at {_0} ms gave version {_1} after {_2} had been acknowledged")]
+    /// A read returned an older version than one acknowledged before it.
+    #[display("a read at {_0} ms returned version {_1} after {_2} had been acknowledged")]
     OldRead(u64, u64, u64),
-    /// An upstream that was leaving got a request.
-    #[display("request {_0} reached {_1}, which was leaving, {_2} ms too late")]
+    /// A request reached a draining upstream after the limit.
+    #[display("request {_0} reached draining upstream {_1} {_2} ms after the limit")]
     Drain(u64, String, u64),
-    /// Service did not come back.
+    /// Service did not recover in time after the last fault.
     #[display("no request was served within {_0} ms after the last fault")]
     Recover(u64),
-    /// A planned stop took too long or failed.
-    #[display("an entry that was told to stop ended after {_0} ms with {_1:?}")]
+    /// A planned stop exceeded its grace period or returned an exit code other than 0.
+    #[display("an entry exited {_0} ms after its stop signal with code {_1:?}")]
     Stop(u64, Option<i32>),
 }
 
-/// Lists the promises that were broken.
+/// Returns the violations that a history shows.
 pub fn violations(history: &History, bounds: &Bounds) -> Vec<Violation> {
     let mut found = Vec::new();
     runs(history, bounds, &mut found);
     for call in &history.calls {
         found.extend(answer(history, call));
-        found.extend(cut(history, bounds, call));
+        found.extend(interruption(history, bounds, call));
         found.extend(version(history, bounds, call));
     }
     reads(history, &mut found);
     drains(history, bounds, &mut found);
-    let back = history.recovered.unwrap_or(u64::MAX);
-    if back.saturating_sub(history.healed) > bounds.recovery {
+    let recovered = history.recovered.unwrap_or(u64::MAX);
+    if recovered.saturating_sub(history.healed) > bounds.recovery {
         found.push(Violation::Recover(bounds.recovery));
     }
-    for (told, ended, code) in &history.stops {
-        let took = ended - told;
+    for (signalled, ended, code) in &history.stops {
+        let took = ended - signalled;
         if took > bounds.grace || *code != Some(0) {
             found.push(Violation::Stop(took, *code));
         }
@@ -119,10 +119,10 @@
     }
 }
 
-/// A call that a planned stop cut, with nothing unplanned around it.
+/// Finds a call that was interrupted with no unplanned disturbance near it.
 ///
-/// One that crosses the close of its connection may be cut, unless it was passed on.
-fn cut(history: &History, bounds: &Bounds, call: &Call) -> Option<Violation> {
+/// A call that crosses the close of its connection may be interrupted, unless it was forwarded.
+fn interruption(history: &History, bounds: &Bounds, call: &Call) -> Option<Violation> {
     if call.outcome != Outcome::Broken {
         return None;
     }
@@ -133,11 +133,11 @@
     let unplanned = history
         .disturbances
         .iter()
-        .any(|d| !d.planned && meets(d, &span));
+        .any(|d| !d.planned && overlaps(d, &span));
     (!unplanned).then_some(Violation::Cut(call.id, call.entry, call.ended))
 }
 
-/// A call on a route that only some versions have, handled by none that may be in force.
+/// Finds a call on a parity route whose outcome matches no version that may be in force.
 fn version(history: &History, bounds: &Bounds, call: &Call) -> Option<Violation> {
     let Kind::Parity(odd) = call.kind else {
         return None;
@@ -188,25 +188,27 @@
                 continue;
             };
             let limit = acked + bounds.drain;
-            if call.sent > *acked && run.at > limit && is_in_touch(history, bounds, call, run.at) {
+            if call.sent > *acked && run.at > limit && is_undisturbed(history, bounds, call, run.at)
+            {
                 found.push(Violation::Drain(*id, name.clone(), run.at - limit));
             }
         }
     }
 }
 
-/// Whether an entry and all replicas were undisturbed for a while before `at`.
-fn is_in_touch(history: &History, bounds: &Bounds, call: &Call, at: u64) -> bool {
+/// Whether the entry and all replicas were undisturbed from `bounds.undisturbed` before the call
+/// until `at`.
+fn is_undisturbed(history: &History, bounds: &Bounds, call: &Call, at: u64) -> bool {
     let span = call.sent.saturating_sub(bounds.undisturbed)..=at;
-    let bears = |d: &&Disturbance| match d.target {
+    let relevant = |d: &&Disturbance| match d.target {
         Target::Entry(entry) => entry == call.entry,
         Target::Control(_) | Target::All => true,
         Target::Upstream(_) => false,
     };
-    let mut near = history.disturbances.iter().filter(bears);
-    !near.any(|d| meets(d, &span))
+    let mut disturbances = history.disturbances.iter().filter(relevant);
+    !disturbances.any(|d| overlaps(d, &span))
 }
 
-fn meets(disturbance: &Disturbance, span: &std::ops::RangeInclusive<u64>) -> bool {
+fn overlaps(disturbance: &Disturbance, span: &std::ops::RangeInclusive<u64>) -> bool {
     disturbance.from <= *span.end() && disturbance.until >= *span.start()
 }
--- a/dev/soak/src/history.rs
+++ b/dev/soak/src/history.rs
@@ -1,4 +1,5 @@
-//! What callers, operators and upstreams saw, in milliseconds since the start.
+//! Record of what callers, operators and upstreams observed; all times are milliseconds
+//! since the start of the soak.
 
 use std::collections::BTreeMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -6,35 +7,35 @@
 
 use derive_more::Display;
 
-/// Kind of a request.
+/// Kind of a request; decides its route and how often it may run.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum Kind {
-    /// May run more than once.
+    /// Idempotent: may run more than once.
     Repeatable,
-    /// Must run once at most.
+    /// Not idempotent: runs at most once.
     Once,
-    /// Answered by a stream that may be resumed.
+    /// Answered by a stream of events that may be resumed.
     Stream,
-    /// On a route that only versions of one parity have: true for odd ones.
+    /// On a route that exists only in odd versions (true) or only in even ones (false).
     #[display("Parity({_0})")]
     Parity(bool),
 }
 
-/// How a call ended for its caller.
+/// Outcome of a call as observed by its caller.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 pub enum Outcome {
-    /// A whole answer of its own upstream.
+    /// The complete, expected answer of an upstream.
     Whole,
-    /// An answer of the system itself, with its status.
+    /// Refused by the system itself, with the HTTP status.
     #[display("Refused({_0})")]
     Refused(u16),
-    /// The connection ended before the answer was whole.
+    /// The connection ended before the answer was complete.
     Broken,
-    /// No connection came about.
+    /// The connection to the entry failed.
     Unconnected,
-    /// No whole answer within the caller's patience.
+    /// No complete answer within the caller's timeout.
     Late,
-    /// An answer that is not the one to this request.
+    /// An answer other than the expected one, with an excerpt.
     #[display("Wrong({_0})")]
     Wrong(String),
 }
@@ -42,98 +43,98 @@
 /// One call of a caller.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Call {
-    /// Number of the request.
+    /// Number of the request, unique within the soak.
     pub id: u64,
-    /// Kind.
+    /// Kind of the request.
     pub kind: Kind,
-    /// Entry that was called.
+    /// Number of the entry that was called.
     pub entry: usize,
-    /// When it was sent.
+    /// Time at which the request was sent.
     pub sent: u64,
-    /// When it ended.
+    /// Time at which the call ended.
     pub ended: u64,
-    /// How it ended.
+    /// Outcome for the caller.
     pub outcome: Outcome,
 }
 
 /// One run of a request at an upstream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Run {
-    /// Name of the start of the upstream.
+    /// Name of the upstream's incarnation.
     pub upstream: String,
-    /// When the request arrived there.
+    /// Time at which the request arrived there.
     pub at: u64,
 }
 
-/// A version that the operator sent.
+/// A version of the configuration that the operator sent.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Order {
-    /// Version.
+    /// Version of the configuration.
     pub version: u64,
-    /// When it was first sent.
+    /// Time at which it was first sent.
     pub sent: u64,
-    /// When it was acknowledged, if it was.
+    /// Time of the acknowledgement; `None` without one.
     pub acked: Option<u64>,
 }
 
-/// What a fault is injected into.
+/// Target of a fault or of planned work.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum Target {
-    /// A control replica.
+    /// The control replica of this number.
     #[display("control {_0}")]
     Control(usize),
-    /// An entry.
+    /// The entry of this number.
     #[display("entry {_0}")]
     Entry(usize),
-    /// An upstream.
+    /// The stand-in upstream of this number.
     #[display("upstream {_0}")]
     Upstream(usize),
-    /// All processes.
+    /// All control replicas and entries.
     #[display("all processes")]
     All,
 }
 
-/// A fault, or planned work, while it lasted.
+/// An interval with a fault or planned work.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 #[display("{from}..{until} ms {name} {target}")]
 pub struct Disturbance {
-    /// What was done.
+    /// Name of the fault or the work.
     pub name: &'static str,
-    /// To what.
+    /// Process or upstream that was disturbed.
     pub target: Target,
-    /// Whether it is planned work, which must harm no caller.
+    /// Whether it is planned work, which must not fail any call.
     pub planned: bool,
-    /// When it began.
+    /// Time at which it began.
     pub from: u64,
-    /// When it was over.
+    /// Time at which it ended.
     pub until: u64,
 }
 
-/// Everything that was seen.
+/// Observations of one soak.
 #[derive(Clone, Debug, Default)]
 pub struct History {
-    /// Calls.
+    /// Calls in the order in which they ended.
     pub calls: Vec<Call>,
-    /// Runs by number of the request.
+    /// Runs at upstreams, by number of the request.
     pub runs: BTreeMap<u64, Vec<Run>>,
-    /// Versions of the operator.
+    /// Versions that the operator declared, in order.
     pub orders: Vec<Order>,
-    /// Versions read back: when the read was sent, and the version.
+    /// Reads of the configuration: time of the request and version returned.
     pub reads: Vec<(u64, u64)>,
-    /// When the leaving of each start of an upstream was acknowledged.
+    /// Time at which the drain of an upstream's incarnation was acknowledged, by its name.
     pub drains: Vec<(String, u64)>,
-    /// Faults and planned work.
+    /// Faults and planned work in the order in which they ended.
     pub disturbances: Vec<Disturbance>,
-    /// Entries that were told to stop: when, when they ended, and the exit code.
+    /// Planned stops of entries: time of the signal, time of the exit and exit code.
     pub stops: Vec<(u64, u64, Option<i32>)>,
-    /// When all faults were over.
+    /// Time at which all faults had ended.
     pub healed: u64,
-    /// When the first request was served after that.
+    /// Time of the first request served after that; `None` if none was.
     pub recovered: Option<u64>,
 }
 
 impl History {
-    /// Number of calls by how they ended.
+    /// Counts the calls by the displayed form of their outcome.
     pub fn outcomes(&self) -> Vec<(String, usize)> {
         let mut counts: BTreeMap<String, usize> = BTreeMap::new();
         for call in &self.calls {
@@ -143,14 +144,14 @@
     }
 }
 
-/// History under way, shared by all that see something.
+/// Shared recorder of the history while a soak runs.
 #[derive(Debug)]
-pub(crate) struct Notes {
+pub(crate) struct Recorder {
     start: Instant,
     history: Mutex<History>,
 }
 
-impl Notes {
+impl Recorder {
     pub(crate) fn new() -> Self {
         Self {
             start: Instant::now(),
@@ -158,7 +159,7 @@
         }
     }
 
-    /// Time since the start, ms.
+    /// Time since the start, in milliseconds.
     pub(crate) fn now(&self) -> u64 {
         self.start.elapsed().as_millis() as u64
     }
--- a/dev/soak/src/lib.rs
+++ b/dev/soak/src/lib.rs
@@ -1,23 +1,17 @@
 //! Randomized fault soak of real processes.
 //!
-//! Starts three control replicas and three entries as processes of their own,
-//! each on a loopback address, with stand-in upstreams and callers in this
-//! process. Every connection to an entry, an upstream or a replica's operators'
-//! port runs through a proxy that delays, resets, cuts or silences it. From a
-//! seed, a schedule kills, stops, pauses and reloads processes, takes data
-//! folders away, crashes, hangs and drains upstreams and changes the
-//! configuration, in series and overlapping. What callers, operators and
-//! upstreams saw is kept in a [`History`], which [`violations`] checks against what
-//! the deployment promises.
-//!
-//! The schedule repeats for a seed; the timing of processes does not.
+//! Runs three control replicas and three entries as separate processes on loopback addresses;
+//! stand-in upstreams and callers run in this process. Proxies in front of entries, upstreams and
+//! the replicas' operator ports disturb connections. A seeded schedule injects overlapping faults
+//! and planned work; [`violations`] checks the recorded [`History`] against the guarantees.
+//! The schedule is deterministic for a seed; the timing of processes is not.
 
 mod caller;
 mod cluster;
 mod fault;
+mod guarantee;
 mod history;
 mod operator;
-mod promise;
 mod proxy;
 mod schedule;
 mod upstream;
@@ -30,15 +24,15 @@
 
 use cluster::Cluster;
 
+pub use guarantee::{Bounds, Violation, violations};
 pub use history::{Call, Disturbance, History, Kind, Order, Outcome, Run, Target};
-pub use promise::{Bounds, Violation, violations};
 
-/// Callers at once.
+/// Number of concurrent callers.
 const CALLERS: usize = 12;
-/// Longest wait for the deployment to serve at first.
-const START_LIMIT: Duration = Duration::from_secs(20);
+/// Timeout for the deployment to begin serving.
+const START_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// What a soak is run with.
+/// Parameters of one soak.
 #[derive(Clone, Debug)]
 pub struct SoakOptions {
     /// Binary under test.
@@ -47,24 +41,24 @@
     pub seed: u64,
     /// Time for which faults are injected.
     pub faults: Duration,
-    /// Second to last number of the loopback addresses; one for each soak at once.
+    /// Third octet of the loopback addresses; concurrent soaks need different ones.
     pub network: u8,
 }
 
-/// What a soak has shown.
+/// Result of one soak.
 #[derive(Debug)]
 pub struct Report {
-    /// Promises that were broken.
+    /// Violated guarantees; empty if the soak passed.
     pub violations: Vec<Violation>,
-    /// Calls by how they ended.
+    /// Number of calls by outcome.
     pub outcomes: Vec<(String, usize)>,
-    /// Faults that were injected.
+    /// Injected faults and planned work, with time and target.
     pub faults: Vec<String>,
-    /// Folder with the logs; kept if a promise was broken.
+    /// Folder with the logs; `None` if no guarantee was violated.
     pub logs: Option<PathBuf>,
 }
 
-/// Why a soak could not be run.
+/// Failure to run a soak.
 #[derive(Debug, Display, From)]
 pub enum SoakError {
     /// A socket or file failed.
@@ -73,7 +67,7 @@
     #[from(ignore)]
     #[display("{_0}")]
     Process(String),
-    /// The deployment did not begin to serve.
+    /// The deployment did not begin to serve in time; the logs are in this folder.
     #[from(ignore)]
     #[display("the deployment did not begin to serve; logs: {}", _0.display())]
     NotServing(PathBuf),
@@ -85,15 +79,15 @@
 ///
 /// # Errors
 ///
-/// Fails if the deployment cannot be started or does not serve at first.
+/// Fails if the deployment cannot be started or does not begin to serve in time.
 pub async fn run(options: &SoakOptions) -> Result<Report, SoakError> {
     let cluster = Arc::new(Cluster::spawn(options).await?);
     let operator = operator::spawn(cluster.clone());
     let callers = caller::spawn_all(&cluster, CALLERS, options.seed);
-    if !cluster.serves_within(START_LIMIT).await {
+    if !cluster.serves_within(START_TIMEOUT).await {
         return Err(SoakError::NotServing(cluster.keep_logs()));
     }
-    schedule::play(&cluster, options.seed, options.faults).await;
+    schedule::run(&cluster, options.seed, options.faults).await;
     cluster.heal().await;
     schedule::recover(&cluster).await;
     callers.stop().await;
--- a/dev/soak/src/main.rs
+++ b/dev/soak/src/main.rs
@@ -9,30 +9,30 @@
 
 const USAGE: &str = "\
 Randomized fault soak of real processes: kills, stops, pauses and reloads processes, disturbs
-connections and upstreams, and checks what the deployment promises.
+connections and upstreams, and checks the guarantees of the deployment.
 
 Usage: soak [OPTION]...
 
 Options:
-      --seed N       First seed [drawn]
-      --seeds N      Number of seeds, one after another [1]
-      --seconds N    Time for which faults are injected, for each seed [14]
-      --network N    Second to last number of the loopback addresses [1]
+      --seed N       First seed [random]
+      --seeds N      Number of consecutive seeds [1]
+      --seconds N    Seconds of fault injection per seed [14]
+      --network N    Third octet of the loopback addresses [1]
       --binary PATH  Binary under test [pimentotide beside this program]
   -h, --help         Show this help
 
-Exits with 1 if a promise was broken; the seed and a folder with the logs are printed.";
+Exits with 1 if a guarantee was violated; prints the seed and a folder with the logs.";
 
-/// What the command line asks for.
-struct Asked {
+/// Parsed command line.
+struct Arguments {
     first: u64,
     count: u64,
     options: SoakOptions,
 }
 
 fn main() -> ExitCode {
-    let asked = match parse(Parser::from_env()) {
-        Ok(Some(asked)) => asked,
+    let arguments = match parse(Parser::from_env()) {
+        Ok(Some(arguments)) => arguments,
         Ok(None) => {
             println!("{USAGE}");
             return ExitCode::SUCCESS;
@@ -50,10 +50,10 @@
         }
     };
     let mut failed = Vec::new();
-    for seed in asked.first..asked.first.saturating_add(asked.count) {
+    for seed in arguments.first..arguments.first.saturating_add(arguments.count) {
         let options = SoakOptions {
             seed,
-            ..asked.options.clone()
+            ..arguments.options.clone()
         };
         match runtime.block_on(run(&options)) {
             Ok(report) if report.violations.is_empty() => print(seed, &report),
@@ -67,17 +67,17 @@
             }
         }
     }
-    println!("{} seeds, failed: {failed:?}", asked.count);
+    println!("{} seeds, failed: {failed:?}", arguments.count);
     ExitCode::from(u8::from(!failed.is_empty()))
 }
 
-fn parse(mut parser: Parser) -> Result<Option<Asked>, lexopt::Error> {
-    let beside = std::env::current_exe().ok();
-    let mut asked = Asked {
+fn parse(mut parser: Parser) -> Result<Option<Arguments>, lexopt::Error> {
+    let executable = std::env::current_exe().ok();
+    let mut arguments = Arguments {
         first: rand::random_range(0..u64::from(u32::MAX)),
         count: 1,
         options: SoakOptions {
-            binary: beside.map_or_else(PathBuf::new, |p| p.with_file_name("pimentotide")),
+            binary: executable.map_or_else(PathBuf::new, |p| p.with_file_name("pimentotide")),
             seed: 0,
             faults: Duration::from_secs(14),
             network: 1,
@@ -86,17 +86,17 @@
     while let Some(arg) = parser.next()? {
         match arg {
             Arg::Short('h') | Arg::Long("help") => return Ok(None),
-            Arg::Long("seed") => asked.first = parser.value()?.parse()?,
-            Arg::Long("seeds") => asked.count = parser.value()?.parse()?,
+            Arg::Long("seed") => arguments.first = parser.value()?.parse()?,
+            Arg::Long("seeds") => arguments.count = parser.value()?.parse()?,
             Arg::Long("seconds") => {
-                asked.options.faults = Duration::from_secs(parser.value()?.parse()?);
+                arguments.options.faults = Duration::from_secs(parser.value()?.parse()?);
             }
-            Arg::Long("network") => asked.options.network = parser.value()?.parse()?,
-            Arg::Long("binary") => asked.options.binary = parser.value()?.into(),
+            Arg::Long("network") => arguments.options.network = parser.value()?.parse()?,
+            Arg::Long("binary") => arguments.options.binary = parser.value()?.into(),
             other => return Err(other.unexpected()),
         }
     }
-    Ok(Some(asked))
+    Ok(Some(arguments))
 }
 
 fn print(seed: u64, report: &Report) {
@@ -111,7 +111,7 @@
         outcomes.join(", ")
     );
     for violation in &report.violations {
-        println!("  broken: {violation}");
+        println!("  violated: {violation}");
     }
     if let Some(logs) = &report.logs {
         for fault in &report.faults {
--- a/dev/soak/src/operator.rs
+++ b/dev/soak/src/operator.rs
@@ -1,4 +1,4 @@
-//! An operator that sends one configuration after another and reads them back.
+//! Operator that declares one version of the configuration after another and reads each back.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -11,11 +11,12 @@
 use crate::history::Order;
 use pimentotide_wire::Message;
 
-/// Pause between two versions, and before an order is sent again.
-const PAUSE: Duration = Duration::from_millis(1_500);
-const AGAIN: Duration = Duration::from_millis(150);
-/// Distance of versions, which need not follow each other.
-const STEPS: std::ops::Range<u64> = 1..4;
+/// Interval between two versions.
+const VERSION_INTERVAL: Duration = Duration::from_millis(1_500);
+/// Interval between two attempts at declaring a version.
+const RETRY_INTERVAL: Duration = Duration::from_millis(150);
+/// Increment from one version to the next; versions need not be consecutive.
+const VERSION_STEP: std::ops::Range<u64> = 1..4;
 
 /// Running operator.
 pub(crate) struct Operator {
@@ -24,10 +25,10 @@
 }
 
 impl Operator {
-    /// Waits until the last order is acknowledged or given up.
+    /// Stops the operator and waits until its last declaration is acknowledged or abandoned.
     pub(crate) async fn stop(self) {
         self.stop.store(true, Ordering::SeqCst);
-        // An operator that panicked has printed why.
+        // The panic handler has already printed the cause of a panic.
         let _ = self.task.await;
     }
 }
@@ -40,47 +41,47 @@
         let mut version = 1;
         while !stopped.load(Ordering::SeqCst) {
             declare(&cluster, version, &stopped).await;
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(VERSION_INTERVAL).await;
             read(&cluster).await;
-            version += rand::rng().random_range(STEPS);
+            version += rand::rng().random_range(VERSION_STEP);
         }
     });
     Operator { stop, task }
 }
 
-/// Sends a version until it is acknowledged or the soak ends.
+/// Sends a version repeatedly until it is acknowledged or the soak ends.
 async fn declare(cluster: &Cluster, version: u64, stopped: &AtomicBool) {
     let order = Order {
         version,
-        sent: cluster.notes.now(),
+        sent: cluster.recorder.now(),
         acked: None,
     };
-    cluster.notes.history().orders.push(order);
+    cluster.recorder.history().orders.push(order);
     let message = cluster.declaration(version);
     while !stopped.load(Ordering::SeqCst) {
-        let answer = cluster.ask_control(&message).await;
+        let answer = cluster.send_to_control(&message).await;
         if answer.is_some_and(|a| a.status() == 200) {
-            let now = cluster.notes.now();
-            if let Some(order) = cluster.notes.history().orders.last_mut() {
+            let now = cluster.recorder.now();
+            if let Some(order) = cluster.recorder.history().orders.last_mut() {
                 order.acked = Some(now);
             }
             return;
         }
-        tokio::time::sleep(AGAIN).await;
+        tokio::time::sleep(RETRY_INTERVAL).await;
     }
 }
 
-/// Reads the configuration once and notes its version; true if one was told.
+/// Reads the configuration once and records its version; true if one was returned.
 pub(crate) async fn read(cluster: &Cluster) -> bool {
-    let sent = cluster.notes.now();
-    let answer = cluster.ask_control(&cluster.read_request()).await;
+    let sent = cluster.recorder.now();
+    let answer = cluster.send_to_control(&cluster.read_request()).await;
     let Some(version) = answer
         .filter(|a| a.status() == 200)
         .and_then(|a| version_of(&a))
     else {
         return false;
     };
-    cluster.notes.history().reads.push((sent, version));
+    cluster.recorder.history().reads.push((sent, version));
     true
 }
 
--- a/dev/soak/src/proxy.rs
+++ b/dev/soak/src/proxy.rs
@@ -1,4 +1,4 @@
-//! Loopback proxies that disturb connections.
+//! Loopback TCP proxies that delay, hold back or reset the connections through them.
 
 use std::io;
 use std::net::SocketAddr;
@@ -11,17 +11,17 @@
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
 
-/// How a proxy passes bytes on.
+/// How a proxy forwards bytes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(crate) enum Passing {
-    /// At once.
+pub(crate) enum Forwarding {
+    /// Without delay.
     #[default]
     Plain,
-    /// After a while.
+    /// After a delay for each piece read.
     Delayed(Duration),
-    /// Not at all, either way; they come later.
+    /// Held back in both directions until the mode changes.
     Silent,
-    /// Only towards the target.
+    /// Towards the target only; the other direction is held back.
     OneWay,
 }
 
@@ -36,19 +36,19 @@
 #[derive(Debug)]
 struct State {
     target: watch::Sender<SocketAddr>,
-    passing: watch::Sender<Passing>,
-    /// Rises with each reset of all connections.
+    forwarding: watch::Sender<Forwarding>,
+    /// Number of resets of all connections.
     resets: watch::Sender<u64>,
 }
 
 impl Proxy {
-    /// Passes connections on to `target`.
+    /// Binds a loopback port whose connections are forwarded to `target`.
     pub(crate) async fn bind(target: SocketAddr) -> io::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
         let state = Arc::new(State {
             target: watch::Sender::new(target),
-            passing: watch::Sender::default(),
+            forwarding: watch::Sender::default(),
             resets: watch::Sender::default(),
         });
         let task = tokio::spawn(accept(listener, state.clone()));
@@ -63,12 +63,12 @@
         self.address
     }
 
-    pub(crate) fn set(&self, passing: Passing) {
-        self.state.passing.send_replace(passing);
+    pub(crate) fn set_forwarding(&self, forwarding: Forwarding) {
+        self.state.forwarding.send_replace(forwarding);
     }
 
-    /// Sends later connections elsewhere.
-    pub(crate) fn lead(&self, target: SocketAddr) {
+    /// Changes the target of later connections.
+    pub(crate) fn set_target(&self, target: SocketAddr) {
         self.state.target.send_replace(target);
     }
 
@@ -86,20 +86,20 @@
 
 async fn accept(listener: TcpListener, state: Arc<State>) {
     while let Ok((inner, _)) = listener.accept().await {
-        tokio::spawn(pass(inner, state.clone()));
+        tokio::spawn(forward(inner, state.clone()));
     }
 }
 
-async fn pass(from: TcpStream, state: Arc<State>) {
+async fn forward(from: TcpStream, state: Arc<State>) {
     let mut resets = state.resets.subscribe();
     let target = *state.target.borrow();
     let Ok(to) = TcpStream::connect(target).await else {
         return reset(&from);
     };
-    // Without it small pieces would wait for each other.
+    // Nagle's algorithm would delay small pieces until earlier ones are acknowledged.
     let _ = (from.set_nodelay(true), to.set_nodelay(true));
     let ((from_read, from_write), (to_read, to_write)) = (from.into_split(), to.into_split());
-    let (up, down) = (state.passing.subscribe(), state.passing.subscribe());
+    let (up, down) = (state.forwarding.subscribe(), state.forwarding.subscribe());
     let up = tokio::spawn(copy(from_read, to_write, up, true));
     let down = tokio::spawn(copy(to_read, from_write, down, false));
     let (stop_up, stop_down) = (up.abort_handle(), down.abort_handle());
@@ -114,7 +114,7 @@
 }
 
 fn reset(stream: &TcpStream) {
-    // A connection that is closed in order does as well.
+    // If this fails, the connection is closed normally, which serves as well.
     let _ = stream.set_zero_linger();
 }
 
@@ -122,17 +122,19 @@
 async fn copy(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
-    mut passing: watch::Receiver<Passing>,
-    upwards: bool,
+    mut forwarding: watch::Receiver<Forwarding>,
+    towards_target: bool,
 ) {
     let mut bytes = vec![0; 16 << 10];
     while let Ok(count @ 1..) = from.read(&mut bytes).await {
-        let now = *passing.borrow();
-        if let Passing::Delayed(delay) = now {
+        let mode = *forwarding.borrow();
+        if let Forwarding::Delayed(delay) = mode {
             tokio::time::sleep(delay).await;
         }
-        let held = |p: &Passing| *p == Passing::Silent || (*p == Passing::OneWay && !upwards);
-        if passing.wait_for(|p| !held(p)).await.is_err() {
+        let held = |p: &Forwarding| {
+            *p == Forwarding::Silent || (*p == Forwarding::OneWay && !towards_target)
+        };
+        if forwarding.wait_for(|p| !held(p)).await.is_err() {
             return;
         }
         if to.write_all(&bytes[..count]).await.is_err() {
--- a/dev/soak/src/schedule.rs
+++ b/dev/soak/src/schedule.rs
@@ -1,4 +1,4 @@
-//! Which faults come when, drawn from a seed.
+//! Schedule of planned work and faults, drawn from a seed.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,58 +9,60 @@
 
 use crate::caller::Caller;
 use crate::cluster::{CONTROLS, Cluster, ENTRIES, UPSTREAMS};
-use crate::fault::{Fault, Link};
+use crate::fault::{Fault, LinkFault};
 
-/// Time between the beginnings of two faults, ms; shorter than many last, so that they overlap.
-const GAP_MS: std::ops::Range<u64> = 150..1_200;
-/// Time for which a fault lasts, ms.
-const LASTING_MS: std::ops::Range<u64> = 100..2_500;
-/// Part of the time, at first, in which only planned work goes on.
-const PLANNED_PART: f64 = 0.35;
-/// Quiet time between planned work and faults, so that what one harms is not blamed on the other.
-const QUIET: Duration = Duration::from_secs(1);
-/// Longest wait for the first request that is served after all faults.
-const RECOVER_LIMIT: Duration = Duration::from_secs(20);
-/// Load after that.
-const AFTER: Duration = Duration::from_secs(1);
+/// Interval between the starts of two faults, in milliseconds; shorter than many faults, so that
+/// they overlap.
+const FAULT_INTERVAL_MS: std::ops::Range<u64> = 150..1_200;
+/// Duration of a fault, in milliseconds.
+const FAULT_DURATION_MS: std::ops::Range<u64> = 100..2_500;
+/// Share of the time, from the start, with planned work only.
+const PLANNED_RATIO: f64 = 0.35;
+/// Pause between planned work and faults, so that the effects of one are not attributed to the
+/// other.
+const QUIET_PERIOD: Duration = Duration::from_secs(1);
+/// Timeout for the first request served after all faults.
+const RECOVERY_TIMEOUT: Duration = Duration::from_secs(20);
+/// Time for which the load continues after that.
+const LOAD_AFTER_RECOVERY: Duration = Duration::from_secs(1);
 
-/// Plays planned work, then faults, for `time` in all; returns when all are over.
-pub(crate) async fn play(cluster: &Arc<Cluster>, seed: u64, time: Duration) {
+/// Injects planned work, then faults, for `time` in total; returns when all have ended.
+pub(crate) async fn run(cluster: &Arc<Cluster>, seed: u64, time: Duration) {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
-    let planned = time.mul_f64(PLANNED_PART);
-    play_for(cluster, &mut rng, planned, draw_planned).await;
-    tokio::time::sleep(QUIET).await;
-    play_for(cluster, &mut rng, time - planned, draw).await;
+    let planned = time.mul_f64(PLANNED_RATIO);
+    run_for(cluster, &mut rng, planned, draw_planned).await;
+    tokio::time::sleep(QUIET_PERIOD).await;
+    run_for(cluster, &mut rng, time - planned, draw).await;
 }
 
-async fn play_for<D>(cluster: &Arc<Cluster>, rng: &mut ChaCha8Rng, time: Duration, draw: D)
+async fn run_for<D>(cluster: &Arc<Cluster>, rng: &mut ChaCha8Rng, time: Duration, draw: D)
 where
     D: Fn(&mut ChaCha8Rng) -> Fault,
 {
-    let mut playing = JoinSet::new();
+    let mut active = JoinSet::new();
     let mut left = time;
     let mut wiped = false;
     while !left.is_zero() {
         let fault = draw(rng);
-        let lasting = Duration::from_millis(rng.random_range(LASTING_MS));
-        let gap = Duration::from_millis(rng.random_range(GAP_MS)).min(left);
-        // One lost disk is what three replicas bear; all others must be sound meanwhile.
+        let duration = Duration::from_millis(rng.random_range(FAULT_DURATION_MS));
+        let interval = Duration::from_millis(rng.random_range(FAULT_INTERVAL_MS)).min(left);
+        // Three replicas tolerate the loss of one disk while the other two are healthy.
         let skip = wiped && matches!(fault, Fault::WipeControl(_));
         if matches!(fault, Fault::WipeControl(_)) && !skip {
-            while playing.join_next().await.is_some() {}
-            fault.play(cluster, lasting).await;
+            while active.join_next().await.is_some() {}
+            fault.inject(cluster, duration).await;
             wiped = true;
         } else if !skip {
             let cluster = cluster.clone();
-            playing.spawn(async move { fault.play(&cluster, lasting).await });
+            active.spawn(async move { fault.inject(&cluster, duration).await });
         }
-        tokio::time::sleep(gap).await;
-        left -= gap;
+        tokio::time::sleep(interval).await;
+        left -= interval;
     }
-    while playing.join_next().await.is_some() {}
+    while active.join_next().await.is_some() {}
 }
 
-/// Waits until requests are served again, and goes on a little.
+/// Waits until a request is served again, then lets the load continue for a while.
 pub(crate) async fn recover(cluster: &Cluster) {
     let mut caller = Caller::new(cluster, u64::MAX);
     let served = async {
@@ -68,11 +70,11 @@
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     };
-    if tokio::time::timeout(RECOVER_LIMIT, served).await.is_ok() {
-        let now = cluster.notes.now();
-        cluster.notes.history().recovered = Some(now);
+    if tokio::time::timeout(RECOVERY_TIMEOUT, served).await.is_ok() {
+        let now = cluster.recorder.now();
+        cluster.recorder.history().recovered = Some(now);
     }
-    tokio::time::sleep(AFTER).await;
+    tokio::time::sleep(LOAD_AFTER_RECOVERY).await;
 }
 
 fn draw_planned(rng: &mut ChaCha8Rng) -> Fault {
@@ -80,7 +82,7 @@
         0..2 => Fault::StopEntry(rng.random_range(0..ENTRIES)),
         2 => Fault::ReloadControl(rng.random_range(0..CONTROLS)),
         3 => Fault::ReloadEntry(rng.random_range(0..ENTRIES)),
-        _ => Fault::LeaveUpstream(rng.random_range(0..UPSTREAMS)),
+        _ => Fault::DrainUpstream(rng.random_range(0..UPSTREAMS)),
     }
 }
 
@@ -88,7 +90,12 @@
     let control = rng.random_range(0..CONTROLS);
     let entry = rng.random_range(0..ENTRIES);
     let upstream = rng.random_range(0..UPSTREAMS);
-    let links = [Link::Delayed, Link::Silent, Link::OneWay, Link::Reset];
+    let links = [
+        LinkFault::Delayed,
+        LinkFault::Silent,
+        LinkFault::OneWay,
+        LinkFault::Reset,
+    ];
     let link = links[rng.random_range(0..links.len())];
     match rng.random_range(0..24) {
         0..2 => Fault::KillControl(control),
@@ -100,9 +107,9 @@
         10..12 => Fault::LinkControl(control, link),
         12..14 => Fault::LinkEntry(entry, link),
         14..16 => Fault::LinkUpstream(upstream, link),
-        16 => Fault::MoodHanging(upstream),
-        17 => Fault::MoodFull(upstream),
-        18..20 => Fault::MoodCutting(upstream),
+        16 => Fault::HangUpstream(upstream),
+        17 => Fault::OverloadUpstream(upstream),
+        18..20 => Fault::TruncateUpstream(upstream),
         20..22 => Fault::CrashUpstream(upstream),
         _ => draw_planned(rng),
     }
--- a/dev/soak/src/upstream.rs
+++ b/dev/soak/src/upstream.rs
@@ -1,4 +1,4 @@
-//! Stand-in upstreams: they announce themselves, run requests and keep a ledger.
+//! Stand-in upstreams, which announce themselves, run requests and record each run.
 
 use std::io;
 use std::net::SocketAddr;
@@ -12,40 +12,40 @@
 use tokio::sync::watch;
 use tokio::task::{AbortHandle, JoinSet};
 
-use crate::history::{Notes, Run};
+use crate::history::{Recorder, Run};
 use crate::proxy::Proxy;
 use pimentotide_wire::{Message, Template, read_message};
 
-/// Pause between announcements.
-const ANNOUNCE: Duration = Duration::from_millis(500);
-/// Longest wait for the answer to one.
-const ANNOUNCE_LIMIT: Duration = Duration::from_secs(1);
-/// Events of a stream.
+/// Interval between announcements.
+const ANNOUNCE_INTERVAL: Duration = Duration::from_millis(500);
+/// Timeout for the acknowledgement of an announcement.
+const ANNOUNCE_TIMEOUT: Duration = Duration::from_secs(1);
+/// Number of events in a stream.
 pub(crate) const EVENTS: u64 = 8;
-/// Time between them.
-const EVENT_GAP: Duration = Duration::from_millis(12);
-/// Time that a whole answer takes, ms.
+/// Interval between the events of a stream.
+const EVENT_INTERVAL: Duration = Duration::from_millis(12);
+/// Processing time of a request that is not streamed, in milliseconds.
 const WORK_MS: std::ops::Range<u64> = 3..40;
-/// Silence of an upstream that hangs.
-const HANG: Duration = Duration::from_secs(10);
+/// Time after which a hanging upstream closes the connection.
+const HANG_TIME: Duration = Duration::from_secs(10);
 
-/// How an upstream treats requests.
+/// How an upstream handles requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(crate) enum Mood {
-    /// As it should.
+pub(crate) enum Mode {
+    /// Runs and answers every request.
     #[default]
-    Sound,
-    /// Takes them and says nothing.
+    Normal,
+    /// Accepts requests and sends no answer.
     Hanging,
-    /// Refuses each second one without running it.
+    /// Refuses about half of the requests without running them.
     Full,
-    /// Runs them and breaks off in the middle of each second answer.
-    Cutting,
+    /// Runs requests and truncates about half of the answers.
+    Truncating,
 }
 
-/// Messages that upstreams say and understand.
+/// Templates of the messages that upstreams send.
 #[derive(Clone, Debug)]
-struct Words {
+struct Templates {
     announce: Template,
     leave: Template,
     answer: Template,
@@ -53,25 +53,26 @@
     full: Template,
 }
 
-/// A stand-in upstream that can be crashed, started anew and told to leave.
+/// A stand-in upstream that can be crashed, restarted and drained.
 #[derive(Debug)]
 pub(crate) struct StandIn {
     number: usize,
-    words: Arc<Words>,
-    notes: Arc<Notes>,
+    templates: Arc<Templates>,
+    recorder: Arc<Recorder>,
     controls: Vec<SocketAddr>,
     pub(crate) proxy: Proxy,
-    mood: watch::Sender<Mood>,
-    life: tokio::sync::Mutex<Life>,
+    mode: watch::Sender<Mode>,
+    incarnation: tokio::sync::Mutex<Incarnation>,
 }
 
-/// One start of an upstream.
+/// State of the present incarnation of an upstream.
 #[derive(Debug)]
-struct Life {
+struct Incarnation {
     name: String,
-    leaving: Arc<AtomicBool>,
+    draining: Arc<AtomicBool>,
     tasks: Vec<AbortHandle>,
-    starts: u64,
+    /// Incremented at each start.
+    number: u64,
 }
 
 impl StandIn {
@@ -79,9 +80,9 @@
     pub(crate) async fn spawn(
         number: usize,
         controls: Vec<SocketAddr>,
-        notes: Arc<Notes>,
+        recorder: Arc<Recorder>,
     ) -> io::Result<Self> {
-        let words = Words {
+        let templates = Templates {
             announce: Template::open("soak/announce.http")?,
             leave: Template::open("soak/leave.http")?,
             answer: Template::open("soak/answer.http")?,
@@ -91,74 +92,78 @@
         let nowhere = SocketAddr::from(([127, 0, 0, 1], 9));
         let stand_in = Self {
             number,
-            words: Arc::new(words),
-            notes,
+            templates: Arc::new(templates),
+            recorder,
             controls,
             proxy: Proxy::bind(nowhere).await?,
-            mood: watch::Sender::default(),
-            life: tokio::sync::Mutex::new(Life {
+            mode: watch::Sender::default(),
+            incarnation: tokio::sync::Mutex::new(Incarnation {
                 name: String::new(),
-                leaving: Arc::default(),
+                draining: Arc::default(),
                 tasks: Vec::new(),
-                starts: 0,
+                number: 0,
             }),
         };
         stand_in.start().await?;
         Ok(stand_in)
     }
 
-    pub(crate) fn set(&self, mood: Mood) {
-        self.mood.send_replace(mood);
+    pub(crate) fn set_mode(&self, mode: Mode) {
+        self.mode.send_replace(mode);
     }
 
-    /// Ends the present start without a word; its connections break.
+    /// Aborts the present incarnation without a message; its connections break.
     pub(crate) async fn crash(&self) {
-        for task in self.life.lock().await.tasks.drain(..) {
+        for task in self.incarnation.lock().await.tasks.drain(..) {
             task.abort();
         }
     }
 
-    /// Starts anew under another name, at another port.
+    /// Starts a new incarnation under another name, on another port.
     pub(crate) async fn start(&self) -> io::Result<()> {
-        let mut life = self.life.lock().await;
+        let mut incarnation = self.incarnation.lock().await;
         let listener = TcpListener::bind("127.0.0.1:0").await?;
-        self.proxy.lead(listener.local_addr()?);
-        life.starts += 1;
-        life.name = format!("u{}.{}", self.number, life.starts);
-        life.leaving = Arc::default();
+        self.proxy.set_target(listener.local_addr()?);
+        incarnation.number += 1;
+        incarnation.name = format!("u{}.{}", self.number, incarnation.number);
+        incarnation.draining = Arc::default();
         let server = Server {
-            name: life.name.clone(),
-            words: self.words.clone(),
-            notes: self.notes.clone(),
-            mood: self.mood.subscribe(),
+            name: incarnation.name.clone(),
+            templates: self.templates.clone(),
+            recorder: self.recorder.clone(),
+            mode: self.mode.subscribe(),
         };
         let serving = tokio::spawn(serve(listener, server));
         let announcing = tokio::spawn(announce(
             Announcer {
-                name: life.name.clone(),
+                name: incarnation.name.clone(),
                 address: self.proxy.address(),
-                born: life.starts,
-                words: self.words.clone(),
-                notes: self.notes.clone(),
+                incarnation: incarnation.number,
+                templates: self.templates.clone(),
+                recorder: self.recorder.clone(),
                 controls: self.controls.clone(),
             },
-            life.leaving.clone(),
+            incarnation.draining.clone(),
         ));
-        life.tasks = vec![serving.abort_handle(), announcing.abort_handle()];
+        incarnation.tasks = vec![serving.abort_handle(), announcing.abort_handle()];
         Ok(())
     }
 
-    /// Announces that it leaves; goes on with what comes.
-    pub(crate) async fn leave(&self) {
-        self.life.lock().await.leaving.store(true, Ordering::SeqCst);
+    /// Announces the drain from now on; keeps serving requests.
+    pub(crate) async fn start_drain(&self) {
+        self.incarnation
+            .lock()
+            .await
+            .draining
+            .store(true, Ordering::SeqCst);
     }
 
-    /// Says that it is gone, and ends.
-    pub(crate) async fn finish(&self) {
-        let name = self.life.lock().await.name.clone();
-        let message = self.words.leave.fill(&[("name", &name)]);
-        // It ends whether it was heard or not.
-        let _ = say(&self.controls, &message).await;
+    /// Withdraws the announcement and ends the incarnation.
+    pub(crate) async fn withdraw(&self) {
+        let name = self.incarnation.lock().await.name.clone();
+        let message = self.templates.leave.fill(&[("name", &name)]);
+        // The incarnation ends whether or not the withdrawal is acknowledged.
+        let _ = send_to_control(&self.controls, &message).await;
         self.crash().await;
     }
 }
@@ -166,27 +171,30 @@
 struct Announcer {
     name: String,
     address: SocketAddr,
-    born: u64,
-    words: Arc<Words>,
-    notes: Arc<Notes>,
+    incarnation: u64,
+    templates: Arc<Templates>,
+    recorder: Arc<Recorder>,
     controls: Vec<SocketAddr>,
 }
 
-async fn announce(announcer: Announcer, leaving: Arc<AtomicBool>) {
-    let (address, born) = (announcer.address.to_string(), announcer.born.to_string());
+async fn announce(announcer: Announcer, draining: Arc<AtomicBool>) {
+    let (address, born) = (
+        announcer.address.to_string(),
+        announcer.incarnation.to_string(),
+    );
     for sequence in 1_u64.. {
-        let leaves = leaving.load(Ordering::SeqCst);
-        let message = announcer.words.announce.fill(&[
+        let draining_now = draining.load(Ordering::SeqCst);
+        let message = announcer.templates.announce.fill(&[
             ("name", &announcer.name),
             ("address", &address),
-            ("state", if leaves { "draining" } else { "ready" }),
+            ("state", if draining_now { "draining" } else { "ready" }),
             ("sequence", &sequence.to_string()),
             ("born", &born),
         ]);
-        let heard = say(&announcer.controls, &message).await;
-        if leaves && heard {
-            let now = announcer.notes.now();
-            let mut history = announcer.notes.history();
+        let acknowledged = send_to_control(&announcer.controls, &message).await;
+        if draining_now && acknowledged {
+            let now = announcer.recorder.now();
+            let mut history = announcer.recorder.history();
             if !history
                 .drains
                 .iter()
@@ -195,41 +203,41 @@
                 history.drains.push((announcer.name.clone(), now));
             }
         }
-        tokio::time::sleep(ANNOUNCE / 2).await;
-        if !leaving.load(Ordering::SeqCst) {
-            tokio::time::sleep(ANNOUNCE / 2).await;
+        tokio::time::sleep(ANNOUNCE_INTERVAL / 2).await;
+        if !draining.load(Ordering::SeqCst) {
+            tokio::time::sleep(ANNOUNCE_INTERVAL / 2).await;
         }
     }
 }
 
-/// Says something to some replica; true if it was acknowledged.
-async fn say(controls: &[SocketAddr], message: &str) -> bool {
+/// Sends a message to a random replica; true if it was acknowledged.
+async fn send_to_control(controls: &[SocketAddr], message: &str) -> bool {
     let address = controls[rand::rng().random_range(0..controls.len())];
-    let asking = async {
+    let exchange = async {
         let mut stream = TcpStream::connect(address).await.ok()?;
         stream.write_all(message.as_bytes()).await.ok()?;
         read_message(&mut stream).await
     };
-    let answer = tokio::time::timeout(ANNOUNCE_LIMIT, asking).await;
+    let answer = tokio::time::timeout(ANNOUNCE_TIMEOUT, exchange).await;
     answer.is_ok_and(|a| a.is_some_and(|m| (200..300).contains(&m.status())))
 }
 
-/// Side of an upstream that takes requests.
+/// Part of an upstream that accepts and runs requests.
 #[derive(Clone)]
 struct Server {
     name: String,
-    words: Arc<Words>,
-    notes: Arc<Notes>,
-    mood: watch::Receiver<Mood>,
+    templates: Arc<Templates>,
+    recorder: Arc<Recorder>,
+    mode: watch::Receiver<Mode>,
 }
 
 async fn serve(listener: TcpListener, server: Server) {
-    // Dropped with this task, so that a crash breaks all connections.
+    // The set is dropped with this task, so that a crash breaks all connections.
     let mut connections = JoinSet::new();
     while let Ok((stream, _)) = listener.accept().await {
         let server = server.clone();
         connections.spawn(async move {
-            // The entry may have gone.
+            // The entry may have closed the connection.
             let _ = server.answer(stream).await;
         });
         while connections.try_join_next().is_some() {}
@@ -243,21 +251,21 @@
             return Ok(());
         };
         let id: u64 = request.body.trim().parse().unwrap_or(0);
-        let mood = *self.mood.borrow();
-        let header = self.words.answer.header("attempt");
+        let mode = *self.mode.borrow();
+        let header = self.templates.answer.header("attempt");
         let attempt = request.header(&header).to_owned();
         let named = [("attempt", attempt.as_str()), ("name", self.name.as_str())];
         let odd = rand::rng().random_bool(0.5);
-        if mood == Mood::Full && odd {
-            let refusal = self.words.full.fill(&named);
+        if mode == Mode::Full && odd {
+            let refusal = self.templates.full.fill(&named);
             return stream.write_all(refusal.as_bytes()).await;
         }
-        self.note(id);
-        if mood == Mood::Hanging {
-            tokio::time::sleep(HANG).await;
+        self.record_run(id);
+        if mode == Mode::Hanging {
+            tokio::time::sleep(HANG_TIME).await;
             return Ok(());
         }
-        let cut = mood == Mood::Cutting && odd;
+        let cut = mode == Mode::Truncating && odd;
         if request.first_line().starts_with("POST /s/") {
             let (reader, writer) = stream.into_split();
             return self.stream(reader, writer, id, &request, &named, cut).await;
@@ -266,14 +274,14 @@
         tokio::time::sleep(Duration::from_millis(work)).await;
         let body = body_of(id);
         let values = [named[0], named[1], ("body", body.as_str())];
-        let answer = self.words.answer.fill(&values);
+        let answer = self.templates.answer.fill(&values);
         let length = if cut { answer.len() - 10 } else { answer.len() };
         stream.write_all(&answer.as_bytes()[..length]).await
     }
 
-    fn note(&self, id: u64) {
-        let at = self.notes.now();
-        let mut history = self.notes.history();
+    fn record_run(&self, id: u64) {
+        let at = self.recorder.now();
+        let mut history = self.recorder.history();
         history.runs.entry(id).or_default().push(Run {
             upstream: self.name.clone(),
             at,
@@ -293,15 +301,15 @@
         R: AsyncReadExt + Unpin,
         W: AsyncWriteExt + Unpin,
     {
-        let head = self.words.events.fill(named);
+        let head = self.templates.events.fill(named);
         writer.write_all(head.as_bytes()).await?;
         let first: u64 = request.header("last-event-id").parse().unwrap_or(0);
         let last_cut = first + rand::rng().random_range(1..EVENTS);
         let mut byte = [0];
         for number in first + 1..=EVENTS {
             tokio::select! {
-                () = tokio::time::sleep(EVENT_GAP) => {}
-                // The caller has gone.
+                () = tokio::time::sleep(EVENT_INTERVAL) => {}
+                // The entry has closed the connection.
                 _ = reader.read(&mut byte) => return Ok(()),
             }
             let event = event_of(id, number);
@@ -315,12 +323,12 @@
     }
 }
 
-/// Body of the whole answer to a request.
+/// Body of an answer that is not streamed.
 pub(crate) fn body_of(id: u64) -> String {
     format!("answer {id} {}", "x".repeat((id % 3_000) as usize))
 }
 
-/// One event of the answer to a request.
+/// Event `number` of a streamed answer, counted from 1.
 pub(crate) fn event_of(id: u64, number: u64) -> String {
     let end = if number == EVENTS { " end" } else { "" };
     format!("id: {number}\ndata: {id} {number}{end}\n\n")
--- a/dev/soak/tests/it/promise.rs
+++ b/dev/soak/tests/it/guarantee.rs
@@ -1,4 +1,4 @@
-//! Every promise is found broken where it is, and only there.
+//! Each check reports the violations of its guarantee and accepts what the guarantee allows.
 
 use insta::assert_snapshot;
 use pimentotide_soak::{
@@ -50,14 +50,14 @@
     }
 }
 
-fn found(history: &History) -> String {
+fn violation_lines(history: &History) -> String {
     let violations = violations(history, &Bounds::default());
     let lines: Vec<String> = violations.iter().map(ToString::to_string).collect();
     lines.join("\n")
 }
 
 #[test]
-fn nothing_is_found_where_nothing_is_broken() {
+fn history_within_all_guarantees_has_no_violation() {
     let mut history = history(vec![
         call(1, Kind::Once, Outcome::Whole),
         call(2, Kind::Repeatable, Outcome::Whole),
@@ -74,11 +74,11 @@
     history.disturbances = vec![disturbed(false, Target::Entry(0))];
     history.stops = vec![(1_000, 4_000, Some(0))];
     history.reads = vec![(2_000, 7)];
-    assert_eq!(found(&history), "");
+    assert_eq!(violation_lines(&history), "");
 }
 
 #[test]
-fn runs_beyond_what_is_allowed_are_found() {
+fn excess_runs_false_refusals_and_wrong_answers_are_violations() {
     let mut history = history(vec![
         call(1, Kind::Once, Outcome::Whole),
         call(2, Kind::Repeatable, Outcome::Whole),
@@ -90,72 +90,72 @@
         .runs
         .insert(2, vec![run("u1", 1), run("u2", 2), run("u3", 3)]);
     history.runs.insert(3, vec![run("u1", 1)]);
-    assert_snapshot!(found(&history), @r"
-    request 1 ran 2 times and must run once at most
-    request 2 ran 3 times, more than its attempts
-    request 3 was refused with 503, which says that it has not run, and it had
+    assert_snapshot!(violation_lines(&history), @r"
+    request 1 ran 2 times; at most one run is allowed
+    request 2 ran 3 times, more than its allowed attempts
+    request 3 was refused with 503 (not run) although it had run
     request 4 got a wrong answer: another
     ");
 }
 
 #[test]
-fn a_cut_counts_only_where_nothing_but_planned_work_went_on() {
+fn interrupted_call_is_a_violation_unless_a_fault_is_near() {
     let mut history = history(vec![call(1, Kind::Once, Outcome::Broken)]);
     history.disturbances = vec![disturbed(true, Target::Entry(0))];
-    assert_snapshot!(found(&history), @"request 1 at entry 0 was cut at 10500 ms with planned work only");
+    assert_snapshot!(violation_lines(&history), @"request 1 at entry 0 was interrupted at 10500 ms without a fault");
     history
         .disturbances
         .push(disturbed(false, Target::Upstream(1)));
-    assert_eq!(found(&history), "");
+    assert_eq!(violation_lines(&history), "");
 }
 
 #[test]
-fn a_request_that_crosses_a_close_may_be_cut_unless_it_was_passed_on() {
+fn call_that_crosses_a_close_may_be_interrupted_unless_it_was_forwarded() {
     let mut crossing = call(1, Kind::Once, Outcome::Broken);
     crossing.ended = crossing.sent + 150;
     let mut history = history(vec![crossing]);
-    assert_eq!(found(&history), "");
+    assert_eq!(violation_lines(&history), "");
     history.runs.insert(1, vec![run("u1", 10_100)]);
-    assert_snapshot!(found(&history), @"request 1 at entry 0 was cut at 10150 ms with planned work only");
+    assert_snapshot!(violation_lines(&history), @"request 1 at entry 0 was interrupted at 10150 ms without a fault");
 }
 
 #[test]
-fn a_configuration_that_is_not_in_force_in_time_is_found() {
+fn configuration_not_in_force_in_time_is_a_violation() {
     let mut history = history(vec![
         call(1, Kind::Parity(true), Outcome::Whole),
         call(2, Kind::Parity(false), Outcome::Refused(404)),
     ]);
     history.orders = vec![order(7, 1_000, 1_200), order(8, 5_000, 5_200)];
     history.reads = vec![(6_000, 7), (5_100, 7)];
-    assert_snapshot!(found(&history), @r"
-    request 1 at 10000 ms was handled by another version than 8
-    request 2 at 10000 ms was handled by another version than 8
-    a read at 6000 ms gave version 7 after 8 had been acknowledged
+    assert_snapshot!(violation_lines(&history), @r"
+    request 1 at 10000 ms was not handled by version 8 or a newer one
+    request 2 at 10000 ms was not handled by version 8 or a newer one
+    a read at 6000 ms returned version 7 after 8 had been acknowledged
     ");
-    // A version that may be in force already explains it.
+    // A newer version that was sent but not yet acknowledged may already be in force.
     history.orders.push(order(9, 9_900, 12_000));
     history.reads.clear();
-    assert_eq!(found(&history), "");
+    assert_eq!(violation_lines(&history), "");
 }
 
 #[test]
-fn an_upstream_that_left_gets_nothing_from_entries_in_touch() {
+fn request_at_a_draining_upstream_is_a_violation_unless_control_is_disturbed() {
     let mut history = history(vec![call(1, Kind::Repeatable, Outcome::Whole)]);
     history.runs.insert(1, vec![run("u1.1", 10_100)]);
     history.drains = vec![("u1.1".to_owned(), 7_500)];
-    assert_snapshot!(found(&history), @"request 1 reached u1.1, which was leaving, 600 ms too late");
+    assert_snapshot!(violation_lines(&history), @"request 1 reached draining upstream u1.1 600 ms after the limit");
     history.disturbances = vec![disturbed(false, Target::Control(2))];
-    assert_eq!(found(&history), "");
+    assert_eq!(violation_lines(&history), "");
 }
 
 #[test]
-fn a_slow_recovery_and_a_failed_stop_are_found() {
+fn missing_recovery_and_failed_stops_are_violations() {
     let mut history = history(Vec::new());
     history.recovered = None;
     history.stops = vec![(1_000, 7_000, Some(0)), (1_000, 2_000, None)];
-    assert_snapshot!(found(&history), @r"
+    assert_snapshot!(violation_lines(&history), @r"
     no request was served within 12000 ms after the last fault
-    an entry that was told to stop ended after 6000 ms with Some(0)
-    an entry that was told to stop ended after 1000 ms with None
+    an entry exited 6000 ms after its stop signal with code Some(0)
+    an entry exited 1000 ms after its stop signal with code None
     ");
 }
--- a/dev/soak/tests/it/main.rs
+++ b/dev/soak/tests/it/main.rs
@@ -1,3 +1,3 @@
-//! Tests of the soak's own checks.
+//! Tests of the checks that the soak applies to a recorded history.
 
-mod promise;
+mod guarantee;
