--- a/dev/rig/src/caller.rs
+++ b/dev/rig/src/caller.rs
@@ -1,9 +1,8 @@
-//! Callers: open-loop load that behaves as the users' clients do.
+//! Open-loop load from callers that behave as the users' clients do.
 //!
-//! Callers ask an entry which addresses to use, keep the answer for as long as
-//! it says, and connect there themselves. Where a connection fails they go on
-//! to the next address; where they are told to come back they do, under the
-//! same key.
+//! Callers fetch the list of entries, cache it for as long as the answer allows and connect to the
+//! entries directly. A failed attempt is retried at the next address, after the delay that the
+//! answer asks for and under the same idempotency key.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -21,88 +20,89 @@
 
 use crate::options::Options;
 
-/// Callers that share the load.
+/// Number of callers that share the load.
 const CALLERS: usize = 60;
 
-/// Tries of one job.
-const MAX_TRIES: u32 = 6;
+/// Maximum number of attempts at one job.
+const MAX_ATTEMPTS: u32 = 6;
 
-/// Longest pause before coming back.
-const MAX_PAUSE: Duration = Duration::from_secs(1);
+/// Maximum delay before a retry.
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// Time after which a caller gives a try up.
-const TRY_TIMEOUT: Duration = Duration::from_secs(25);
+/// Timeout of one attempt.
+const ATTEMPT_TIMEOUT: Duration = Duration::from_secs(25);
 
-/// Time for a connection.
+/// Timeout for establishing a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Time for an answer about addresses.
-const ADVICE_TIMEOUT: Duration = Duration::from_secs(1);
+/// Timeout for fetching the list of entries.
+const ENTRIES_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Kinds of job, with their part of the load in percent.
-const MIX: [(Job, u32); 4] = [
+/// Kinds of job, with their share of the load in percent.
+const JOB_MIX: [(Job, u32); 4] = [
     (Job::Stream, 50),
     (Job::Whole, 25),
     (Job::Read, 10),
     (Job::Lodge, 15),
 ];
 
-/// Tokens of an answer.
+/// Number of tokens in an answer.
 const TOKENS: u32 = 24;
 
-/// What a caller wants.
+/// Kind of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub(crate) enum Job {
     /// A streamed completion.
     Stream,
-    /// A plain completion.
+    /// A completion in one piece.
     Whole,
     /// A read from the register.
     Read,
-    /// A lodging, which may run only once.
+    /// A lodging at the register, which may run only once.
     Lodge,
 }
 
-/// How a job ended.
+/// Outcome of a job, or of one attempt.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub(crate) enum End {
-    /// With the whole answer.
+pub(crate) enum Outcome {
+    /// The complete answer.
     Answered,
-    /// With a refusal or failure that tells whether it ran.
-    Told {
-        /// Kind of error.
+    /// A refusal or failure that reports whether the job ran.
+    #[serde(rename = "told")]
+    Error {
+        /// Kind of the error, `none` if the answer has none.
         kind: String,
-        /// Whether it ran.
+        /// Whether the job ran, as reported.
         ran: String,
     },
-    /// With a connection that broke before the answer was whole.
+    /// The connection failed or timed out before the answer was complete.
     Broken(String),
-    /// With a stream that ended without its end mark and without an error.
+    /// The stream ended early without an end marker or an error.
     Cut,
 }
 
-/// One job from its intended start to its end.
+/// Measurement of one job from its intended start to its end.
 #[derive(Clone, Debug, Serialize)]
 pub(crate) struct Sample {
-    /// What was wanted.
+    /// Kind of the job.
     pub(crate) job: Job,
-    /// Key, for lodgings.
+    /// Idempotency key; `None` unless the job is a lodging.
     pub(crate) key: Option<String>,
-    /// Intended start, from the start of the load.
+    /// Intended start, relative to the start of the load.
     pub(crate) at: Duration,
-    /// Time to the first token of the last try; to the end where nothing is streamed.
+    /// Latency of the first token of the last attempt; of the end for jobs that are not streamed.
     pub(crate) first: Duration,
-    /// Time to the end.
+    /// Latency of the end, from the intended start.
     pub(crate) total: Duration,
-    /// Tries.
+    /// Number of attempts.
     pub(crate) tries: u32,
-    /// How it ended.
-    pub(crate) end: End,
+    /// Outcome of the last attempt.
+    pub(crate) end: Outcome,
 }
 
-/// Running load.
+/// Handle of the running load.
 pub(crate) struct Callers {
     load: JoinHandle<()>,
     state: Rc<State>,
@@ -110,36 +110,37 @@
 
 struct State {
     client: Client,
-    known: Vec<SocketAddr>,
+    entries: Vec<SocketAddr>,
     zones: Vec<String>,
-    advice: RefCell<Vec<Advice>>,
+    cached: RefCell<Vec<EntryList>>,
     samples: RefCell<Vec<Sample>>,
     open: RefCell<Vec<JoinHandle<()>>>,
     stopping: RefCell<bool>,
     start: Instant,
 }
 
-/// Addresses that one caller holds.
+/// Addresses of entries as cached by one caller.
 #[derive(Clone, Debug, Default)]
-struct Advice {
+struct EntryList {
     addresses: Vec<SocketAddr>,
-    until: Option<Instant>,
+    /// Expiry; `None` before the first fetch.
+    expires: Option<Instant>,
 }
 
 impl Callers {
-    /// Starts to offer load.
-    pub(crate) fn spawn(options: &Options, known: Vec<SocketAddr>, zones: Vec<String>) -> Self {
-        // A connection that closes early must not look like an answer that ended.
-        let connector = strict_eof_connector(CONNECT_TIMEOUT).limit(4096);
+    /// Starts the load.
+    pub(crate) fn spawn(options: &Options, entries: Vec<SocketAddr>, zones: Vec<String>) -> Self {
+        // An early close must not be mistaken for the end of an answer.
+        let connector = whole_connector(CONNECT_TIMEOUT).limit(4096);
         let client = Client::builder()
             .connector(connector)
             .disable_timeout()
             .finish();
         let state = Rc::new(State {
             client,
-            known,
+            entries,
             zones,
-            advice: RefCell::new(vec![Advice::default(); CALLERS]),
+            cached: RefCell::new(vec![EntryList::default(); CALLERS]),
             samples: RefCell::default(),
             open: RefCell::default(),
             stopping: RefCell::default(),
@@ -150,7 +151,7 @@
         Self { load, state }
     }
 
-    /// Ends the load and waits for open jobs.
+    /// Stops the load and waits for the jobs in flight.
     pub(crate) async fn stop(self) -> Vec<Sample> {
         *self.state.stopping.borrow_mut() = true;
         self.load.await.expect("the load task does not panic");
@@ -175,14 +176,14 @@
         let job = draw(&mut rng);
         let caller = rng.random_range(0..CALLERS);
         let prompt = rng.random_range(0..200_u32);
-        let run = run(Rc::clone(&state), job, number, caller, prompt, at);
+        let run = run_job(Rc::clone(&state), job, number, caller, prompt, at);
         state.open.borrow_mut().push(actix_rt::spawn(run));
     }
 }
 
 fn draw(rng: &mut ChaCha8Rng) -> Job {
     let mut left = rng.random_range(0..100_u32);
-    for (job, part) in MIX {
+    for (job, part) in JOB_MIX {
         if left < part {
             return job;
         }
@@ -191,14 +192,21 @@
     Job::Stream
 }
 
-async fn run(state: Rc<State>, job: Job, number: u64, caller: usize, prompt: u32, at: Duration) {
+async fn run_job(
+    state: Rc<State>,
+    job: Job,
+    number: u64,
+    caller: usize,
+    prompt: u32,
+    at: Duration,
+) {
     let key = (job == Job::Lodge).then(|| format!("lodging-{number}"));
     let intended = state.start + at;
     let (mut tries, mut first) = (0, Duration::ZERO);
     let end = loop {
         tries += 1;
         let address = state.address(caller, tries).await;
-        let one = one_try(
+        let attempt = attempt(
             &state,
             job,
             key.as_deref(),
@@ -207,12 +215,12 @@
             intended,
             &mut first,
         );
-        let end = tokio::time::timeout(TRY_TIMEOUT, one).await;
-        let (end, pause) = end.unwrap_or_else(|_| (End::Broken("timeout".to_owned()), None));
-        if end == End::Answered || tries >= MAX_TRIES || !may_come_back(&end) {
+        let end = tokio::time::timeout(ATTEMPT_TIMEOUT, attempt).await;
+        let (end, pause) = end.unwrap_or_else(|_| (Outcome::Broken("timeout".to_owned()), None));
+        if end == Outcome::Answered || tries >= MAX_ATTEMPTS || !is_retryable(&end) {
             break end;
         }
-        tokio::time::sleep(pause.unwrap_or_default().min(MAX_PAUSE)).await;
+        tokio::time::sleep(pause.unwrap_or_default().min(MAX_RETRY_DELAY)).await;
     };
     let total = intended.elapsed();
     if !matches!(job, Job::Stream) {
@@ -230,19 +238,19 @@
     state.samples.borrow_mut().push(sample);
 }
 
-/// Whether trying again may help; every job has a key or may run twice.
-fn may_come_back(end: &End) -> bool {
+/// Whether a retry may succeed; it is safe, since every job is idempotent or has a key.
+fn is_retryable(end: &Outcome) -> bool {
     match end {
-        End::Answered | End::Cut => false,
-        End::Broken(_) => true,
-        End::Told { kind, .. } => !matches!(
+        Outcome::Answered | Outcome::Cut => false,
+        Outcome::Broken(_) => true,
+        Outcome::Error { kind, .. } => !matches!(
             kind.as_str(),
             "outcome_unknown" | "crashing_request" | "key_mismatch"
         ),
     }
 }
 
-async fn one_try(
+async fn attempt(
     state: &State,
     job: Job,
     key: Option<&str>,
@@ -250,7 +258,7 @@
     prompt: u32,
     intended: Instant,
     first: &mut Duration,
-) -> (End, Option<Duration>) {
+) -> (Outcome, Option<Duration>) {
     let text = format!("Order {prompt}: close the street before the school. ").repeat(20);
     let body = serde_json::json!({
         "model": "rig", "prompt": text, "max_tokens": TOKENS, "stream": job == Job::Stream,
@@ -272,7 +280,7 @@
     };
     match sent {
         Ok(answer) => read(answer, job, intended, first).await,
-        Err(e) => (End::Broken(e.to_string()), None),
+        Err(e) => (Outcome::Broken(e.to_string()), None),
     }
 }
 
@@ -281,7 +289,7 @@
     job: Job,
     intended: Instant,
     first: &mut Duration,
-) -> (End, Option<Duration>)
+) -> (Outcome, Option<Duration>)
 where
     S: futures_util::Stream<Item = Result<bytes::Bytes, awc::error::PayloadError>> + Unpin,
 {
@@ -300,72 +308,80 @@
                 }
                 body.extend_from_slice(&chunk);
             }
-            Err(e) => return (End::Broken(e.to_string()), pause),
+            Err(e) => return (Outcome::Broken(e.to_string()), pause),
         }
     }
     let text = String::from_utf8_lossy(&body);
     if !success {
-        return (told(&text), pause);
+        return (parse_error(&text), pause);
     }
     if job != Job::Stream {
-        return (End::Answered, None);
+        return (Outcome::Answered, None);
     }
     let events = text.matches("data: {").count();
     if let Some((_, problem)) = text.split_once("event: error\ndata: ") {
-        return (told(problem.trim()), None);
+        return (parse_error(problem.trim()), None);
     }
     let whole = text.ends_with("data: [DONE]\n\n") && events == TOKENS as usize;
-    (if whole { End::Answered } else { End::Cut }, None)
+    (
+        if whole {
+            Outcome::Answered
+        } else {
+            Outcome::Cut
+        },
+        None,
+    )
 }
 
-fn told(text: &str) -> End {
+fn parse_error(text: &str) -> Outcome {
     let problem: Value = serde_json::from_str(text).unwrap_or_default();
     let member = |name: &str| problem[name].as_str().unwrap_or("none").to_owned();
-    End::Told {
+    Outcome::Error {
         kind: member("kind"),
         ran: member("ran"),
     }
 }
 
 impl State {
-    /// Address to use for a try; asks for advice when the one held has run out.
+    /// Returns the address for an attempt; fetches the list of entries if the cached one has
+    /// expired.
     async fn address(&self, caller: usize, tries: u32) -> SocketAddr {
-        let held = self.advice.borrow()[caller].clone();
-        let fresh = held.until.is_some_and(|u| Instant::now() < u);
-        let held = if fresh {
-            held
+        let cached = self.cached.borrow()[caller].clone();
+        let fresh = cached.expires.is_some_and(|at| Instant::now() < at);
+        let list = if fresh {
+            cached
         } else {
-            self.ask(caller).await.unwrap_or(held)
+            self.fetch_entries(caller).await.unwrap_or(cached)
         };
-        let addresses = if held.addresses.is_empty() {
-            &self.known
+        let addresses = if list.addresses.is_empty() {
+            &self.entries
         } else {
-            &held.addresses
+            &list.addresses
         };
         addresses[(tries as usize - 1) % addresses.len()]
     }
 
-    async fn ask(&self, caller: usize) -> Option<Advice> {
+    async fn fetch_entries(&self, caller: usize) -> Option<EntryList> {
         let zone = &self.zones[caller % self.zones.len()];
-        for offset in 0..self.known.len() {
-            let entry = self.known[(caller + offset) % self.known.len()];
+        for offset in 0..self.entries.len() {
+            let entry = self.entries[(caller + offset) % self.entries.len()];
             let url = format!("http://{entry}/v1/entries?zone={zone}");
-            let sent = self.client.get(url).timeout(ADVICE_TIMEOUT).send().await;
+            let sent = self.client.get(url).timeout(ENTRIES_TIMEOUT).send().await;
             let Ok(mut answer) = sent else { continue };
-            let Ok(advice) = answer.json::<Value>().await else {
+            let Ok(answer) = answer.json::<Value>().await else {
                 continue;
             };
-            let listed = advice["entries"].as_array().cloned().unwrap_or_default();
+            let listed = answer["entries"].as_array().cloned().unwrap_or_default();
             let addresses = listed
                 .iter()
                 .filter_map(|e| e["address"].as_str()?.parse().ok());
-            let keep = Duration::from_secs(advice["keep_seconds"].as_u64().unwrap_or(1));
-            let advice = Advice {
+            let keep = Duration::from_secs(answer["keep_seconds"].as_u64().unwrap_or(1));
+            let list = EntryList {
                 addresses: addresses.collect(),
-                until: Some(Instant::now() + keep),
+                expires: Some(Instant::now() + keep),
             };
-            self.advice.borrow_mut()[caller] = advice.clone();
-            return Some(advice);
+            self.cached.borrow_mut()[caller] = list.clone();
+            return Some(list);
         }
         None
     }
--- a/dev/rig/src/fault.rs
+++ b/dev/rig/src/fault.rs
@@ -1,29 +1,29 @@
-//! Faults that the rig applies.
+//! Faults that the rig injects into a deployment.
 
 use derive_more::Display;
 use pimentotide_standin::Control;
 
 use crate::deployment::Deployment;
 
-/// One fault, which begins and heals.
+/// A fault with its name on the command line.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub(crate) enum Fault {
-    /// Nothing happens.
+    /// No fault.
     #[display("none")]
     None,
-    /// Operators take the first zone out and bring it back.
+    /// An operator takes the first zone out of service and returns it.
     #[display("zone-out")]
     ZoneOut,
-    /// Everything in the first zone is killed and started again.
+    /// All processes and upstreams of the first zone are killed and restarted.
     #[display("zone-kill")]
     ZoneKill,
-    /// One entry without a disk is killed and started again.
+    /// One entry without a disk is killed and restarted.
     #[display("entry-kill")]
     EntryKill,
-    /// One agent is killed and started again.
+    /// One agent is killed and restarted.
     #[display("agent-kill")]
     AgentKill,
-    /// The leading control replica is killed and started again.
+    /// The instance of the leading control replica is killed and restarted.
     #[display("leader-kill")]
     LeaderKill,
     /// One engine restarts cold without warning.
@@ -32,19 +32,19 @@
     /// One engine accepts work and makes no progress.
     #[display("engine-stall")]
     EngineStall,
-    /// One entry is stopped gracefully and started again.
+    /// One entry is stopped gracefully and restarted.
     #[display("entry-stop")]
     EntryStop,
-    /// One entry is frozen and goes on.
+    /// One entry is suspended and resumed.
     #[display("entry-pause")]
     EntryPause,
-    /// All control replicas but one are killed and started again.
+    /// All control replicas but one are killed and restarted.
     #[display("control-kill")]
     ControlKill,
 }
 
 impl Fault {
-    /// All faults.
+    /// All faults, in the order of the help text.
     pub(crate) const ALL: [Self; 11] = [
         Self::None,
         Self::ZoneOut,
@@ -60,12 +60,12 @@
     ];
 }
 
-/// Applies a fault.
-pub(crate) async fn begin(fault: Fault, deployment: &mut Deployment) -> Result<(), String> {
+/// Injects a fault.
+pub(crate) async fn inject(fault: Fault, deployment: &mut Deployment) -> Result<(), String> {
     let zone = deployment.zones()[0].clone();
     match fault {
         Fault::None => {}
-        Fault::ZoneOut => deployment.operate(&["zone", "out", &zone]).await?,
+        Fault::ZoneOut => deployment.run_command(&["zone", "out", &zone]).await?,
         Fault::ZoneKill => deployment.kill_zone(&zone).await,
         Fault::EntryKill => deployment.kill(&deployment.plain_entry()),
         Fault::AgentKill => deployment.kill(&deployment.model_agent()),
@@ -96,12 +96,12 @@
     Ok(())
 }
 
-/// Heals a fault.
+/// Ends a fault and restarts what it stopped.
 pub(crate) async fn heal(fault: Fault, deployment: &mut Deployment) -> Result<(), String> {
     let zone = deployment.zones()[0].clone();
     match fault {
         Fault::None | Fault::EngineRestart => {}
-        Fault::ZoneOut => deployment.operate(&["zone", "in", &zone]).await?,
+        Fault::ZoneOut => deployment.run_command(&["zone", "in", &zone]).await?,
         Fault::EngineStall => deployment.control_engine(Control::default()),
         Fault::EntryPause => deployment.resume(&deployment.plain_entry()),
         Fault::ZoneKill
--- a/dev/rig/src/main.rs
+++ b/dev/rig/src/main.rs
@@ -1,9 +1,8 @@
 //! Real-process rig: a whole deployment on loopback, open-loop load, one fault.
 //!
-//! Starts the shipped binary as separate processes with stand-in upstreams,
-//! offers load whose latency counts from the intended start, applies one fault
-//! and lets it heal. What ran is read from the ledgers of the stand-ins, not
-//! from the binary under test.
+//! Starts the shipped binary as separate processes with stand-in upstreams, offers load, injects one
+//! fault and ends it. Latency counts from the intended start of a request. Which requests ran is
+//! read from the ledgers of the stand-ins, independently of the binary under test.
 
 mod caller;
 mod deployment;
@@ -21,16 +20,16 @@
 use crate::options::Options;
 use crate::report::{Phases, Report};
 
-/// Load before the fault that does not count.
+/// Load before the steady phase, excluded from its figures.
 const WARM_UP: Duration = Duration::from_secs(8);
 
-/// Load before the fault.
+/// Load of the steady phase, before the fault.
 const STEADY: Duration = Duration::from_secs(10);
 
-/// Time for which the fault lasts.
-const FAULT: Duration = Duration::from_secs(12);
+/// Duration of the fault.
+const FAULT_DURATION: Duration = Duration::from_secs(12);
 
-/// Load after the fault has healed.
+/// Load after the end of the fault.
 const RECOVERY: Duration = Duration::from_secs(12);
 
 fn main() -> ExitCode {
@@ -74,17 +73,17 @@
     let callers = Callers::spawn(options, deployment.entry_addresses(), deployment.zones());
     let start = Instant::now();
     tokio::time::sleep(WARM_UP + STEADY).await;
-    let began = start.elapsed();
-    fault::begin(options.fault, &mut deployment).await?;
-    tokio::time::sleep(FAULT).await;
-    let healed = start.elapsed();
+    let fault_start = start.elapsed();
+    fault::inject(options.fault, &mut deployment).await?;
+    tokio::time::sleep(FAULT_DURATION).await;
+    let fault_end = start.elapsed();
     fault::heal(options.fault, &mut deployment).await?;
     tokio::time::sleep(RECOVERY).await;
     let samples: Vec<Sample> = callers.stop().await;
     let phases = Phases {
         steady: WARM_UP,
-        began,
-        healed,
+        fault_start,
+        fault_end,
         end: start.elapsed(),
     };
     let ledgers = deployment.ledgers();
--- a/dev/rig/src/options.rs
+++ b/dev/rig/src/options.rs
@@ -1,4 +1,4 @@
-//! The command line of the rig.
+//! Command line of the rig.
 
 use std::path::PathBuf;
 
@@ -8,7 +8,7 @@
 use crate::fault::Fault;
 
 pub(crate) const USAGE: &str = "\
-Run a whole deployment as separate processes, offer load and apply one fault.
+Run a whole deployment as separate processes, offer load and inject one fault.
 
 Usage: pimentotide-rig [OPTION]...
 
@@ -16,27 +16,27 @@
       --deployment NAME  ashanti or bondline [ashanti]
       --fault NAME       none, zone-out, zone-kill, entry-kill, agent-kill, leader-kill,
                          engine-restart, engine-stall, entry-stop, entry-pause, control-kill [none]
-      --rate N           Requests offered a second [120]
+      --rate N           Requests offered per second [120]
       --seed N           Seed of the load [1]
-      --binary PATH      Binary under test; given twice, both are run and reported
+      --binary PATH      Binary under test; may be repeated to run and report several
                          [target/release/pimentotide]
       --json PATH        Write the reports to a JSON file
   -h, --help             Show this help";
 
-/// What to run.
+/// Parsed command line.
 #[derive(Clone, Debug)]
 pub(crate) struct Options {
-    /// Deployment to run.
+    /// Layout of the deployment.
     pub(crate) deployment: Layout,
-    /// Fault to apply.
+    /// Fault to inject.
     pub(crate) fault: Fault,
-    /// Requests offered a second.
+    /// Offered load, in requests per second.
     pub(crate) rate: u32,
     /// Seed of the load.
     pub(crate) seed: u64,
-    /// Binaries under test.
+    /// Binaries under test, run one after another.
     pub(crate) binaries: Vec<PathBuf>,
-    /// File for the reports.
+    /// JSON file for the reports; `None` writes none.
     pub(crate) json: Option<PathBuf>,
 }
 
@@ -51,18 +51,18 @@
     Bondline,
 }
 
-/// Why a command line makes no sense.
+/// Error of the command line.
 #[derive(Debug, Display, From)]
 pub(crate) enum UsageError {
-    /// An option is unknown or its value is wrong.
+    /// An option is unknown or its value is invalid.
     #[display("{_0}")]
     Option(lexopt::Error),
-    /// A name is unknown.
+    /// The name of a deployment or a fault is unknown.
     #[display("unknown {_0}: {_1:?}")]
     Unknown(&'static str, String),
 }
 
-/// Parses the command line; none asks for help.
+/// Parses the command line; `None` if it requests help.
 pub(crate) fn parse(mut parser: Parser) -> Result<Option<Options>, UsageError> {
     let mut options = Options {
         deployment: Layout::Ashanti,
--- a/dev/rig/src/report.rs
+++ b/dev/rig/src/report.rs
@@ -1,4 +1,4 @@
-//! One table and one JSON object for a run.
+//! Report of a run as a table and as a JSON object.
 
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
@@ -9,51 +9,52 @@
 use pimentotide_standin::Ledger;
 use serde::Serialize;
 
-use crate::caller::{End, Job, Sample};
+use crate::caller::{Job, Outcome, Sample};
 use crate::options::Options;
 use crate::verdict::Verdict;
 use pimentotide_process::Usage;
 
-/// Length of one row of the time series.
-const ROW: Duration = Duration::from_millis(100);
+/// Interval of one row of the time series.
+const ROW_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Highest time recorded, in microseconds.
+/// Highest latency recorded, in microseconds; longer ones are clamped to it.
 const MAX_MICROS: u64 = 120_000_000;
 
-/// First-token time, relative to the steady phase, that counts as recovered.
-const RECOVERED: f64 = 1.5;
+/// Ratio of the first-token latency to its steady value up to which service counts as recovered.
+const RECOVERED_RATIO: f64 = 1.5;
 
-/// When the phases of a run began, from the start of the load.
+/// Boundaries of the phases of a run, relative to the start of the load.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Phases {
     /// Start of the steady phase.
     pub(crate) steady: Duration,
     /// Start of the fault.
-    pub(crate) began: Duration,
+    pub(crate) fault_start: Duration,
     /// End of the fault.
-    pub(crate) healed: Duration,
+    pub(crate) fault_end: Duration,
     /// End of the load.
     pub(crate) end: Duration,
 }
 
-/// Service within one phase or row.
+/// Outcomes and latencies of the jobs within one phase or row.
 #[derive(Clone, Debug, Default, Serialize)]
 pub(crate) struct Service {
-    /// Start, in milliseconds from the start of the load.
+    /// Start of the interval, in milliseconds from the start of the load.
     pub(crate) from_ms: u128,
-    /// Jobs whose intended start lies within.
+    /// Jobs whose intended start lies within the interval.
     pub(crate) offered: u64,
-    /// Jobs that got their whole answer.
+    /// Jobs that received the complete answer.
     pub(crate) answered: u64,
-    /// Jobs that needed more than one try.
+    /// Jobs that took more than one attempt.
     pub(crate) retried: u64,
-    /// Jobs that ended with a refusal or failure, by kind and truth.
-    pub(crate) told: BTreeMap<String, u64>,
-    /// Jobs whose connection broke for good.
+    /// Jobs that ended with a refusal or failure, by kind and by whether the job ran.
+    #[serde(rename = "told")]
+    pub(crate) errors: BTreeMap<String, u64>,
+    /// Jobs whose connection broke on the last attempt, or whose stream was cut.
     pub(crate) broken: u64,
-    /// Time to the first token of a stream at 50, 95 and 99 in 100, in microseconds.
+    /// Latency of the first token of streams at p50, p95 and p99, in microseconds.
     pub(crate) first_us: [u64; 3],
-    /// Time to the end at 50, 95 and 99 in 100, in microseconds.
+    /// Latency of the end at p50, p95 and p99, in microseconds.
     pub(crate) total_us: [u64; 3],
 }
 
@@ -67,8 +68,8 @@
     seed: u64,
     verdict: Verdict,
     phases: BTreeMap<&'static str, Service>,
-    /// Milliseconds from the start of the fault until the first token at 99 in
-    /// 100 stays within 1.5 times its steady value; none if it never does.
+    /// Milliseconds from the start of the fault until the first-token latency at p99 stays within
+    /// 1.5 times its steady value and every job is answered; `None` if it does not.
     recovered_ms: Option<u128>,
     rows: Vec<Service>,
     usage: BTreeMap<String, Usage>,
@@ -84,9 +85,9 @@
         usage: BTreeMap<String, Usage>,
     ) -> Self {
         let named = [
-            ("1 steady", phases.steady, phases.began),
-            ("2 fault", phases.began, phases.healed),
-            ("3 healed", phases.healed, phases.end),
+            ("1 steady", phases.steady, phases.fault_start),
+            ("2 fault", phases.fault_start, phases.fault_end),
+            ("3 healed", phases.fault_end, phases.end),
         ];
         let named = named.map(|(name, from, to)| (name, service(samples, from, to)));
         let mut report = Self {
@@ -105,7 +106,7 @@
         report
     }
 
-    /// Shows the report to a person.
+    /// Formats the report as a table.
     pub(crate) fn table(&self) -> String {
         let mut text = format!(
             "{} {} fault {} rate {}/s seed {}\n",
@@ -113,7 +114,7 @@
         );
         let _ = writeln!(
             text,
-            "{:<10} {:>8} {:>8} {:>8} {:>7} {:>26} {:>29}  told",
+            "{:<10} {:>8} {:>8} {:>8} {:>7} {:>26} {:>29}  errors",
             "phase",
             "offered",
             "answered",
@@ -132,7 +133,7 @@
                 service.broken,
                 millis(service.first_us),
                 millis(service.total_us),
-                told(&service.told),
+                format_errors(&service.errors),
             );
         }
         let v = &self.verdict;
@@ -170,30 +171,30 @@
         format!("{}; {}", part("entry"), part("agent"))
     }
 
-    /// Finds from when on each window of a second stays within the bound.
+    /// Finds the start of the first 1 s window of the fault from which all windows meet the bound.
     fn recovery(&self, samples: &[Sample], phases: &Phases) -> Option<u128> {
-        let bound = self.phases["1 steady"].first_us[2] as f64 * RECOVERED;
+        let bound = self.phases["1 steady"].first_us[2] as f64 * RECOVERED_RATIO;
         let window = Duration::from_secs(1);
         let mut recovered = None;
-        let mut from = phases.began;
-        while from + window <= phases.healed {
+        let mut from = phases.fault_start;
+        while from + window <= phases.fault_end {
             let service = service(samples, from, from + window);
             let good = service.first_us[2] as f64 <= bound && service.answered == service.offered;
             if good {
-                recovered = recovered.or(Some((from - phases.began).as_millis()));
+                recovered = recovered.or(Some((from - phases.fault_start).as_millis()));
             } else {
                 recovered = None;
             }
-            from += ROW;
+            from += ROW_INTERVAL;
         }
         recovered
     }
 }
 
 fn rows(samples: &[Sample], end: Duration) -> Vec<Service> {
-    let count = u32::try_from(end.as_millis() / ROW.as_millis()).unwrap_or(0);
+    let count = u32::try_from(end.as_millis() / ROW_INTERVAL.as_millis()).unwrap_or(0);
     (0..count)
-        .map(|i| service(samples, ROW * i, ROW * (i + 1)))
+        .map(|i| service(samples, ROW_INTERVAL * i, ROW_INTERVAL * (i + 1)))
         .collect()
 }
 
@@ -208,20 +209,20 @@
         service.offered += 1;
         service.retried += u64::from(sample.tries > 1);
         match &sample.end {
-            End::Answered => {
+            Outcome::Answered => {
                 service.answered += 1;
                 if sample.job == Job::Stream {
                     first.saturating_record(micros(sample.first));
                 }
                 total.saturating_record(micros(sample.total));
             }
-            End::Told { kind, ran } => {
+            Outcome::Error { kind, ran } => {
                 *service
-                    .told
+                    .errors
                     .entry(format!("{kind} (ran {ran})"))
                     .or_default() += 1;
             }
-            End::Broken(_) | End::Cut => service.broken += 1,
+            Outcome::Broken(_) | Outcome::Cut => service.broken += 1,
         }
     }
     let quantiles = |h: &Histogram<u64>| [0.5, 0.95, 0.99].map(|q| h.value_at_quantile(q));
@@ -236,7 +237,7 @@
         .join("/")
 }
 
-fn told(kinds: &BTreeMap<String, u64>) -> String {
+fn format_errors(kinds: &BTreeMap<String, u64>) -> String {
     let parts: Vec<_> = kinds
         .iter()
         .map(|(kind, count)| format!("{kind}: {count}"))
--- a/dev/rig/src/settings.rs
+++ b/dev/rig/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings files of a deployment on loopback addresses.
+//! Instances, settings files and declarations of a deployment on loopback addresses.
 
 use std::fmt::Write as _;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -13,52 +13,52 @@
 const OPERATOR_PORT: u16 = 18_081;
 const WORK_PORT: u16 = 17_200;
 const ANNOUNCE_PORT: u16 = 17_201;
-/// First host number of the agents in each zone.
-const AGENT_HOST: u8 = 101;
+/// Last octet of the first agent's address in each zone.
+const FIRST_AGENT_HOST: u8 = 101;
 
 /// One process of the deployment.
 #[derive(Clone, Debug)]
 pub(crate) struct Instance {
-    /// Name of the instance.
+    /// Name of the instance, unique in the deployment.
     pub(crate) name: String,
-    /// Availability zone.
+    /// Name of its availability zone.
     pub(crate) zone: String,
-    /// Address of the host.
+    /// Loopback address of the instance.
     pub(crate) host: Ipv4Addr,
-    /// Part that it plays.
+    /// Role of its process.
     pub(crate) role: Role,
 }
 
-/// Part that a process plays.
+/// Role of a process.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Role {
-    /// Entry, with a control replica if it has a disk.
+    /// An entry, with a control replica if it has a disk.
     Entry {
-        /// Whether it has a disk.
+        /// Whether the instance has a disk.
         disk: bool,
     },
-    /// Agent beside an upstream.
+    /// The agent of an upstream.
     Agent {
         /// Name of the upstream.
         upstream: String,
-        /// Whether the upstream is a plain service.
+        /// Whether the upstream is a plain service instead of a model engine.
         plain: bool,
     },
 }
 
 impl Instance {
-    /// Address that callers connect to.
-    pub(crate) fn caller(&self) -> SocketAddr {
+    /// Address of the entry for callers.
+    pub(crate) fn caller_address(&self) -> SocketAddr {
         SocketAddr::from((self.host, CALLER_PORT))
     }
 
     /// Address of the control replica for operators.
-    pub(crate) fn operator(&self) -> SocketAddr {
+    pub(crate) fn operator_address(&self) -> SocketAddr {
         SocketAddr::from((self.host, OPERATOR_PORT))
     }
 
-    /// Address to which the upstream announces itself.
-    pub(crate) fn announce(&self) -> SocketAddr {
+    /// Address of the agent to which the upstream announces itself.
+    pub(crate) fn announce_address(&self) -> SocketAddr {
         SocketAddr::from((self.host, ANNOUNCE_PORT))
     }
 }
@@ -98,7 +98,7 @@
             instances.push(Instance {
                 name: format!("{upstream}-agent"),
                 zone: zone.to_owned(),
-                host: Ipv4Addr::new(127, network, number, AGENT_HOST + index),
+                host: Ipv4Addr::new(127, network, number, FIRST_AGENT_HOST + index),
                 role: Role::Agent { upstream, plain },
             });
         }
@@ -107,7 +107,7 @@
 }
 
 /// Text of the settings file of one process.
-pub(crate) fn text(instance: &Instance, all: &[Instance], data: &str) -> String {
+pub(crate) fn settings_text(instance: &Instance, all: &[Instance], data: &str) -> String {
     let mut text = format!(
         "instance: {}\nregion: rig\nzone: {}\ntoken: {TOKEN}\nlog: \"info, actix_server=warn\"\n",
         instance.name, instance.zone
@@ -145,7 +145,7 @@
     text
 }
 
-/// Declarations of the deployment.
+/// Profiles and services that every deployment declares, as YAML.
 pub(crate) const DECLARATIONS: &str = "\
 profiles:
   interactive:
--- a/dev/rig/src/verdict.rs
+++ b/dev/rig/src/verdict.rs
@@ -1,31 +1,31 @@
-//! What the independent ledgers say against what callers were told.
+//! Compares the outcomes that callers observed with the ledgers of the stand-in upstreams.
 
 use std::collections::BTreeMap;
 
 use pimentotide_standin::Ledger;
 use serde::Serialize;
 
-use crate::caller::{End, Job, Sample};
+use crate::caller::{Job, Outcome, Sample};
 
-/// Counts that have to be zero.
+/// Counts of violations; each must be zero.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub(crate) struct Verdict {
-    /// Lodgings that were answered and did not run, and jobs without any answer.
+    /// Lodgings that were answered but did not run, and jobs without any answer.
     pub(crate) lost: u64,
     /// Lodgings that ran more than once.
     pub(crate) doubled: u64,
-    /// Streams that ended short without an error.
+    /// Streams that ended early without an error.
     pub(crate) cut: u64,
-    /// Runs begun on an upstream that already had all it can bear.
+    /// Runs started on an upstream that was already at its limit.
     pub(crate) over_limit: u64,
-    /// Lodgings that ran although the caller was told "not run".
+    /// Lodgings that ran although the caller received an error that reports no run.
     pub(crate) false_refusals: u64,
-    /// Times that an upstream fell over.
+    /// Crashes of upstreams.
     pub(crate) crashes: u64,
 }
 
 impl Verdict {
-    /// Judges the samples by the ledgers.
+    /// Checks the samples against the ledgers.
     pub(crate) fn of(samples: &[Sample], ledgers: &[Ledger]) -> Self {
         let runs = runs_by_key(ledgers);
         let mut verdict = Self {
@@ -34,21 +34,21 @@
             ..Self::default()
         };
         for sample in samples {
-            verdict.cut += u64::from(sample.end == End::Cut);
-            verdict.lost += u64::from(matches!(sample.end, End::Broken(_)));
+            verdict.cut += u64::from(sample.end == Outcome::Cut);
+            verdict.lost += u64::from(matches!(sample.end, Outcome::Broken(_)));
             if sample.job == Job::Lodge {
                 let ran = sample.key.as_ref().and_then(|k| runs.get(k)).copied();
-                verdict.judge_lodging(sample, ran.unwrap_or(0));
+                verdict.check_lodging(sample, ran.unwrap_or(0));
             }
         }
         verdict
     }
 
-    fn judge_lodging(&mut self, sample: &Sample, runs: u32) {
+    fn check_lodging(&mut self, sample: &Sample, runs: u32) {
         self.doubled += u64::from(runs > 1);
         match &sample.end {
-            End::Answered => self.lost += u64::from(runs == 0),
-            End::Told { ran, .. } if ran == "no" => self.false_refusals += u64::from(runs > 0),
+            Outcome::Answered => self.lost += u64::from(runs == 0),
+            Outcome::Error { ran, .. } if ran == "no" => self.false_refusals += u64::from(runs > 0),
             _ => {}
         }
     }
