--- a/dev/soak/src/caller.rs
+++ b/dev/soak/src/caller.rs
@@ -171,7 +171,7 @@
 /// Classifies an answer by comparing it with the expected one.
 fn classify(answer: &Message, id: u64, kind: Kind) -> Outcome {
     if answer.status() != 200 {
-        return if answer.whole {
+        return if answer.complete {
             Outcome::Refused(answer.status())
         } else {
             Outcome::Broken
@@ -181,12 +181,12 @@
         Kind::Stream => (1..=EVENTS).map(|n| event_of(id, n)).collect(),
         Kind::Repeatable | Kind::Once | Kind::Parity(_) => body_of(id),
     };
-    if answer.whole && answer.body == expected {
+    if answer.complete && answer.body == expected {
         return Outcome::Whole;
     }
-    if !answer.whole && expected.starts_with(&answer.body) {
+    if !answer.complete && expected.starts_with(&answer.body) {
         return Outcome::Broken;
     }
     let shown: String = answer.body.chars().take(120).collect();
-    Outcome::Wrong(format!("whole {}: {shown:?}", answer.whole))
+    Outcome::Wrong(format!("whole {}: {shown:?}", answer.complete))
 }
--- a/dev/soak/src/cluster.rs
+++ b/dev/soak/src/cluster.rs
@@ -215,7 +215,7 @@
         let signalled = self.recorder.now();
         entry.process.terminate();
         let end = Instant::now() + STOP_TIMEOUT;
-        while Instant::now() < end && !entry.process.has_ended() {
+        while Instant::now() < end && !entry.process.has_exited() {
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
         let code = entry.process.exit_code();
