--- a/dev/bench/src/bin/capacity_control.rs
+++ b/dev/bench/src/bin/capacity_control.rs
@@ -3,7 +3,7 @@
 use std::hint::black_box;
 use std::time::Duration;
 
-use pimentotide_bench::measure::{memory_each, nanos};
+use pimentotide_bench::measure::{memory_per_item, nanos};
 use pimentotide_bench::target::{MODELS, UPSTREAMS, WORKSPACES, announcement, declarations};
 use pimentotide_consensus::Index;
 use pimentotide_control::currency::{Confirmation, Held, Update, WatchAnswer, WatchRequest, grant};
@@ -142,8 +142,8 @@
     for size in SIZES {
         let mut registry = registry(size);
         let update = registry.update_since(None, Time::ZERO);
-        let kept = memory_each(size * COPIES, || vec_of(|| self::registry(size)));
-        let seen = memory_each(size * COPIES, || vec_of(|| view(&registry)));
+        let kept = memory_per_item(size * COPIES, || vec_of(|| self::registry(size)));
+        let seen = memory_per_item(size * COPIES, || vec_of(|| view(&registry)));
         let beats: Vec<_> = (0..size).map(beat).collect();
         let heard = nanos(BATCH, |i| {
             black_box(registry.receive(beats[i % size].clone(), Time::ZERO));
@@ -243,7 +243,7 @@
     );
     for (profiles, workspaces) in DECLARED {
         let held = declarations(profiles, workspaces);
-        let resident = memory_each(COPIES, || vec_of(|| held.clone()));
+        let resident = memory_per_item(COPIES, || vec_of(|| held.clone()));
         let mut machine = machine(profiles, workspaces);
         let mut id = 0;
         let applied = nanos(20, |_| {
--- a/dev/bench/src/bin/capacity_entry.rs
+++ b/dev/bench/src/bin/capacity_entry.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use pimentotide_bench::measure::{memory_each, nanos};
+use pimentotide_bench::measure::{memory_per_item, nanos};
 use pimentotide_bench::target::{
     MODELS, UPSTREAMS, WORKSPACES, announcement, declarations, service,
 };
@@ -87,7 +87,7 @@
         "upstreams", "resident B", "report ns", "announcement ns", "decision ns"
     );
     for size in SIZES {
-        let resident = memory_each(size, || placer(size));
+        let resident = memory_per_item(size, || placer(size));
         let mut placer = placer(size);
         let names: Vec<_> = (0..size).map(|i| announcement(i).upstream).collect();
         let mut sequence = 1;
@@ -133,7 +133,7 @@
     println!("{:>10} {:>10} {:>12}", "offered", "kept", "B a block");
     for blocks in BLOCKS {
         let mut kept = 0;
-        let total = memory_each(1, || {
+        let total = memory_per_item(1, || {
             let mut placer = placer(HOLDERS);
             for i in 0..blocks {
                 store(&mut placer, i);
--- a/dev/bench/src/bin/capacity_group.rs
+++ b/dev/bench/src/bin/capacity_group.rs
@@ -1,6 +1,6 @@
 //! Slopes of a group's coordinator and of the replicas' own messages, in bytes.
 
-use pimentotide_bench::measure::{memory_each, nanos};
+use pimentotide_bench::measure::{memory_per_item, nanos};
 use pimentotide_consensus::{
     ClusterId, DiskId, Entry, Envelope, Identity, Index, LogId, Message, Payload,
 };
@@ -61,7 +61,7 @@
         let demand = Demand::new(usize::from(EXPERTS), &weights, &speeds);
         let map = pack_greedily(&layout, &demand).expect("the layout fits");
         let copies = 64;
-        let resident = memory_each(copies, || vec![map.clone(); copies]);
+        let resident = memory_per_item(copies, || vec![map.clone(); copies]);
         let encoded = nanos(5, |_| drop(std::hint::black_box(postcard::to_stdvec(&map))));
         let encoded = encoded.split('/').filter_map(|t| t.parse::<f64>().ok());
         let encoded: Vec<_> = encoded.map(|t| format!("{:.0}", t / 1e3)).collect();
--- a/dev/bench/src/bin/capacity_stream.rs
+++ b/dev/bench/src/bin/capacity_stream.rs
@@ -9,8 +9,8 @@
 use std::time::Duration;
 
 use pimentotide_bench::load::{Load, offer};
-use pimentotide_bench::measure::resident;
-use pimentotide_bench::pair::{MODEL, deployment};
+use pimentotide_bench::measure::resident_bytes;
+use pimentotide_bench::pair::{MODEL, start_deployment};
 
 /// Tokens of an answer.
 const TOKENS: [u32; 3] = [1, 32, 128];
@@ -34,7 +34,7 @@
 }
 
 async fn run() {
-    let (engine, agent, entry, _view) = deployment().await;
+    let (engine, agent, entry, _view) = start_deployment().await;
     let (direct, proxied) = (engine.address(), entry.address());
     offer(&load(proxied, 1, RATE)).await;
     println!("processor time of entry and agent, streamed, us a request, min/median/max of {RUNS}");
@@ -89,7 +89,7 @@
     let seen = Rc::clone(&highest);
     let look = actix_rt::spawn(async move {
         loop {
-            seen.set(seen.get().max(resident()));
+            seen.set(seen.get().max(resident_bytes()));
             tokio::time::sleep(LOOK).await;
         }
     });
--- a/dev/bench/src/bin/choice.rs
+++ b/dev/bench/src/bin/choice.rs
@@ -129,7 +129,7 @@
     let mut world = World::new(settings, workload);
     let end = Time::ZERO + LENGTH;
     world.run(end + Duration::from_secs(15));
-    summarize(&world.answers, Time::ZERO + WARM_UP, end)
+    summarize(&world.results, Time::ZERO + WARM_UP, end)
 }
 
 fn print_row(scene: &Scene, lag: Duration, (policy, spread): (Policy, Spread), s: &Summary) {
@@ -144,7 +144,7 @@
         s.goodput,
         s.hits,
         s.refused,
-        s.bounced,
+        s.gate_refusals,
     );
 }
 
--- a/dev/bench/src/bin/overload.rs
+++ b/dev/bench/src/bin/overload.rs
@@ -64,7 +64,7 @@
             three(&s.first),
             three(&s.total),
             s.refused,
-            s.bounced,
+            s.gate_refusals,
         );
     }
 }
@@ -91,5 +91,5 @@
     let mut world = World::new(settings, Workload::draw(&load, ENTRIES, seed));
     let end = Time::ZERO + LENGTH;
     world.run(end + Duration::from_secs(15));
-    summarize(&world.answers, Time::ZERO + WARM_UP, end)
+    summarize(&world.results, Time::ZERO + WARM_UP, end)
 }
--- a/dev/bench/src/bin/proxy_cost.rs
+++ b/dev/bench/src/bin/proxy_cost.rs
@@ -5,7 +5,7 @@
 
 use pimentotide::entry::Entry;
 use pimentotide_bench::load::{Load, Outcome, offer};
-use pimentotide_bench::pair::{MODEL, deployment};
+use pimentotide_bench::pair::{MODEL, start_deployment};
 use pimentotide_standin::Engine;
 
 const ROUNDS: usize = 5;
@@ -19,7 +19,7 @@
 }
 
 async fn run() {
-    let (engine, agent, entry, _view) = deployment().await;
+    let (engine, agent, entry, _view) = start_deployment().await;
     for stream in [false, true] {
         let kind = if stream { "streamed" } else { "plain" };
         println!("{kind}: {RATE} requests/s, {TOKENS} tokens, {ROUNDS} rounds of {LENGTH:?} each");
@@ -87,7 +87,7 @@
     };
     println!(
         "{name:>7} {:>24} {:>24} {:>24} failed {}",
-        pair(&outcome.first),
+        pair(&outcome.first_byte),
         pair(&outcome.total),
         outcome.pause.value_at_quantile(0.99),
         outcome.failed,
@@ -97,7 +97,8 @@
 fn print_added(rows: &[(Outcome, Outcome)]) {
     for quantile in [0.5, 0.99] {
         let added = |(a, b): &(Outcome, Outcome)| {
-            b.first.value_at_quantile(quantile) as f64 - a.first.value_at_quantile(quantile) as f64
+            b.first_byte.value_at_quantile(quantile) as f64
+                - a.first_byte.value_at_quantile(quantile) as f64
         };
         let all = rows.iter().map(added).collect();
         println!(
--- a/dev/bench/src/bin/zone_return.rs
+++ b/dev/bench/src/bin/zone_return.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use pimentotide_bench::fleet::{
-    Answer, Load, Order, Outcome, Policy, Workload, World, WorldSettings, summarize,
+    Load, Order, Outcome, Policy, RequestResult, Workload, World, WorldSettings, summarize,
 };
 use pimentotide_model::{AdminState, Spread, Time};
 
@@ -77,11 +77,11 @@
 
 fn print_second(world: &World, second: u64) {
     let running = world.samples.last().map(|(_, r)| *r).unwrap_or_default();
-    let within = |a: &&Answer| {
+    let within = |a: &&RequestResult| {
         let end = a.arrival + a.total;
         end.as_millis() / 1_000 == second - 1
     };
-    let ended: Vec<&Answer> = world.answers.iter().filter(within).collect();
+    let ended: Vec<&RequestResult> = world.results.iter().filter(within).collect();
     let refused = ended
         .iter()
         .filter(|a| a.outcome == Outcome::Refused)
@@ -98,13 +98,13 @@
     println!("running at the end (gates, engines): {:?}", world.running());
     println!("engines given more than they bore: {}", world.excess());
     let steady = summarize(
-        &world.answers,
+        &world.results,
         Time::from_millis(WINDOWS[0].1),
         Time::from_millis(WINDOWS[0].2),
     );
     for (name, from, to) in WINDOWS {
         let s = summarize(
-            &world.answers,
+            &world.results,
             Time::from_millis(from),
             Time::from_millis(to),
         );
@@ -118,7 +118,7 @@
             s.total[2],
             s.hits,
             s.refused,
-            s.bounced,
+            s.gate_refusals,
         );
     }
 }
--- a/dev/bench/src/fleet/engine.rs
+++ b/dev/bench/src/fleet/engine.rs
@@ -72,7 +72,7 @@
     }
 
     /// Drops the cache and the warmth, as after a restart.
-    pub fn chill(&mut self) {
+    pub fn reset(&mut self) {
         self.completions = 0;
         self.uses.clear();
         self.order.clear();
@@ -84,7 +84,7 @@
     }
 
     /// Requests that the engine bears: two completions warm it for one more.
-    pub fn bears(&self) -> u32 {
+    pub fn warm_capacity(&self) -> u32 {
         self.capacity.min(1 + self.completions / 2)
     }
 
@@ -110,7 +110,9 @@
             started: false,
         });
         let running = self.jobs.len() as u32;
-        self.excess = self.excess.max(running.saturating_sub(self.bears()));
+        self.excess = self
+            .excess
+            .max(running.saturating_sub(self.warm_capacity()));
         (stored, evicted)
     }
 
--- a/dev/bench/src/fleet/mod.rs
+++ b/dev/bench/src/fleet/mod.rs
@@ -16,6 +16,6 @@
 pub use chooser::Policy;
 pub use engine::EngineModel;
 pub use event::{Order, WorldSettings};
-pub use result::{Answer, Outcome, Summary, median, summarize};
+pub use result::{Outcome, RequestResult, Summary, median, summarize};
 pub use workload::{Load, Request, Workload};
 pub use world::World;
--- a/dev/bench/src/fleet/result.rs
+++ b/dev/bench/src/fleet/result.rs
@@ -15,7 +15,7 @@
 
 /// What one caller got.
 #[derive(Clone, Copy, Debug)]
-pub struct Answer {
+pub struct RequestResult {
     /// Arrival of the request.
     pub arrival: Time,
     /// How it ended.
@@ -25,7 +25,7 @@
     /// Time to the end.
     pub total: Duration,
     /// Whether the end came before the deadline.
-    pub timely: bool,
+    pub met_deadline: bool,
     /// Blocks of the prompt.
     pub blocks: u32,
     /// Blocks found in the cache.
@@ -48,23 +48,23 @@
     /// Part of the requests refused.
     pub refused: f64,
     /// Refusals by gates for each request.
-    pub bounced: f64,
+    pub gate_refusals: f64,
 }
 
 /// Summarizes the answers to requests that arrived between `from` and `to`.
-pub fn summarize(answers: &[Answer], from: Time, to: Time) -> Summary {
-    let measured: Vec<&Answer> = answers
+pub fn summarize(results: &[RequestResult], from: Time, to: Time) -> Summary {
+    let measured: Vec<&RequestResult> = results
         .iter()
         .filter(|a| a.arrival >= from && a.arrival < to)
         .collect();
-    let answered: Vec<&&Answer> = measured
+    let answered: Vec<&&RequestResult> = measured
         .iter()
         .filter(|a| a.outcome == Outcome::Answered)
         .collect();
-    let timely = answered.iter().filter(|a| a.timely).count();
+    let timely = answered.iter().filter(|a| a.met_deadline).count();
     let blocks: u64 = answered.iter().map(|a| u64::from(a.blocks)).sum();
     let cached: u64 = answered.iter().map(|a| u64::from(a.cached)).sum();
-    let bounced: u64 = measured.iter().map(|a| u64::from(a.refusals)).sum();
+    let gate_refusals: u64 = measured.iter().map(|a| u64::from(a.refusals)).sum();
     let count = measured.len().max(1) as f64;
     Summary {
         first: quantiles(answered.iter().map(|a| a.first)),
@@ -72,7 +72,7 @@
         goodput: timely as f64 / to.since(from).as_secs_f64(),
         hits: cached as f64 / blocks.max(1) as f64,
         refused: 1.0 - answered.len() as f64 / count,
-        bounced: bounced as f64 / count,
+        gate_refusals: gate_refusals as f64 / count,
     }
 }
 
@@ -89,7 +89,7 @@
         goodput: pick(&|s| s.goodput),
         hits: pick(&|s| s.hits),
         refused: pick(&|s| s.refused),
-        bounced: pick(&|s| s.bounced),
+        gate_refusals: pick(&|s| s.gate_refusals),
     }
 }
 
--- a/dev/bench/src/fleet/world.rs
+++ b/dev/bench/src/fleet/world.rs
@@ -13,7 +13,7 @@
 
 use super::chooser::Choice;
 use super::event::{Event, WorldSettings};
-use super::result::{Answer, Outcome};
+use super::result::{Outcome, RequestResult};
 use super::setup::{
     Entry, Flight, Node, ZONES, announcement, declarations, delay, entry, instance, node,
 };
@@ -40,7 +40,7 @@
     pub(super) flights: Vec<Flight>,
     pub(super) rng: ChaCha8Rng,
     /// What callers got.
-    pub answers: Vec<Answer>,
+    pub results: Vec<RequestResult>,
     /// Running requests by zone, sampled with each report.
     pub samples: Vec<(Time, [u32; 3])>,
 }
@@ -67,7 +67,7 @@
             nodes,
             entries,
             rng,
-            answers: Vec::new(),
+            results: Vec::new(),
             samples: Vec::new(),
             settings,
             workload,
@@ -326,12 +326,12 @@
         self.entries[offered.entry]
             .queue
             .observe_answer(self.now.since(flight.sent));
-        self.answers.push(Answer {
+        self.results.push(RequestResult {
             arrival: offered.arrival,
             outcome: Outcome::Answered,
             first: first.since(offered.arrival),
             total: self.now.since(offered.arrival),
-            timely: self.now <= offered.meta.deadline,
+            met_deadline: self.now <= offered.meta.deadline,
             blocks: offered.meta.prefix.len() as u32,
             cached,
             refusals: flight.refusals,
@@ -361,12 +361,12 @@
 
     fn refuse(&mut self, request: usize) {
         let offered = &self.workload.requests[request];
-        self.answers.push(Answer {
+        self.results.push(RequestResult {
             arrival: offered.arrival,
             outcome: Outcome::Refused,
             first: Duration::ZERO,
             total: self.now.since(offered.arrival),
-            timely: false,
+            met_deadline: false,
             blocks: 0,
             cached: 0,
             refusals: self.flights[request].refusals,
@@ -391,7 +391,7 @@
             .insert(ZoneName::from(ZONES[order.zone]), order.standing);
         if order.standing == AdminState::In {
             for engine in (order.zone..self.nodes.len()).step_by(3) {
-                self.nodes[engine].engine.chill();
+                self.nodes[engine].engine.reset();
                 self.nodes[engine].holds.clear();
                 self.publish(engine, CacheChange::Cleared);
             }
--- a/dev/bench/src/load.rs
+++ b/dev/bench/src/load.rs
@@ -37,7 +37,7 @@
     /// Requests that failed or were refused.
     pub failed: u64,
     /// Time to the first byte of the body, in microseconds.
-    pub first: Histogram<u64>,
+    pub first_byte: Histogram<u64>,
     /// Time to the end, in microseconds.
     pub total: Histogram<u64>,
     /// Longest pause between two parts of one answer, in microseconds.
@@ -53,7 +53,7 @@
             offered: 0,
             answered: 0,
             failed: 0,
-            first: histogram(),
+            first_byte: histogram(),
             total: histogram(),
             pause: histogram(),
             wall: Duration::ZERO,
@@ -122,7 +122,7 @@
         match last {
             None => outcome
                 .borrow_mut()
-                .first
+                .first_byte
                 .saturating_record(micros(intended)),
             Some(last) => longest = longest.max(last.elapsed()),
         }
--- a/dev/bench/src/measure.rs
+++ b/dev/bench/src/measure.rs
@@ -31,19 +31,19 @@
 /// Builds something and returns the resident memory that it takes, bytes an item.
 ///
 /// What is built is kept, so that later measures find no freed memory to reuse.
-pub fn memory_each<T, F>(items: usize, build: F) -> f64
+pub fn memory_per_item<T, F>(items: usize, build: F) -> f64
 where
     F: FnOnce() -> T,
 {
-    let before = resident();
+    let before = resident_bytes();
     let built = black_box(build());
-    let after = resident();
+    let after = resident_bytes();
     std::mem::forget(built);
     after.saturating_sub(before) as f64 / items as f64
 }
 
 /// Resident memory of this process, bytes.
-pub fn resident() -> u64 {
+pub fn resident_bytes() -> u64 {
     let text = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages = text.split(' ').nth(1).and_then(|p| p.parse().ok());
     pages.unwrap_or(0) * PAGE_BYTES
--- a/dev/bench/src/pair.rs
+++ b/dev/bench/src/pair.rs
@@ -24,7 +24,7 @@
 const DRAIN: Duration = Duration::from_secs(10);
 
 /// Starts an engine, its agent and an entry that knows it.
-pub async fn deployment() -> (Engine, Agent, Entry, watch::Sender<View>) {
+pub async fn start_deployment() -> (Engine, Agent, Entry, watch::Sender<View>) {
     let token = Token::open("bench-secret-0123456789").expect("a valid secret");
     let view = watch::Sender::new(View {
         declarations: Arc::new(declarations()),
