--- a/dev/bench/src/bin/capacity_control.rs
+++ b/dev/bench/src/bin/capacity_control.rs
@@ -1,4 +1,4 @@
-//! Slopes of the control path: encoded sizes, processor time and memory.
+//! Per-item costs of the control path: encoded sizes, processor time and memory.
 
 use std::hint::black_box;
 use std::time::Duration;
@@ -13,15 +13,15 @@
 use pimentotide_model::{AdminState, Fence, Fingerprint, Incarnation, Revision, Time, Warmth};
 use serde::Serialize;
 
-/// Upstreams in a directory.
+/// Numbers of upstreams in a directory.
 const SIZES: [usize; 4] = [100, 1_000, UPSTREAMS, 10_000];
-/// Profiles and workspaces in force.
+/// Numbers of profiles and workspaces in force.
 const DECLARED: [(usize, usize); 5] = [(5, 10), (26, 100), (26, 420), (104, 420), (260, 420)];
-/// Orders in a history.
+/// Numbers of orders in a history.
 const ORDERS: [u64; 3] = [100, 1_000, 4_000];
-/// Events in one timed run.
+/// Calls per timed run.
 const BATCH: usize = 2_000;
-/// Structures built at once to measure their memory.
+/// Copies built for one measurement of memory.
 const COPIES: usize = 8;
 
 fn main() {
@@ -47,7 +47,7 @@
     postcard::to_stdvec(value).expect("messages encode").len()
 }
 
-fn whole(i: usize) -> Report {
+fn full_report(i: usize) -> Report {
     Report::Whole {
         notice: notice(i, 1),
         warmth: Warmth::Warm,
@@ -61,7 +61,7 @@
     }
 }
 
-fn beat(i: usize) -> Report {
+fn heartbeat(i: usize) -> Report {
     let announcement = announcement(i);
     Report::Beat(Heartbeat {
         upstream: announcement.upstream,
@@ -102,11 +102,23 @@
     println!("bytes of one message, without JSON-RPC and WebSocket framing");
     println!("{:<28} {:>8} {:>8}", "message", "JSON", "binary");
     let row = |name: &str, json: usize, binary: usize| println!("{name:<28} {json:>8} {binary:>8}");
-    row("agent's heartbeat", json(&beat(1)), binary(&beat(1)));
-    row("announcement, whole", json(&whole(1)), binary(&whole(1)));
-    let asked = request(None);
-    row("watch request", json(&asked), binary(&asked));
-    row("watch answer, no news", json(&answer()), binary(&answer()));
+    row(
+        "agent's heartbeat",
+        json(&heartbeat(1)),
+        binary(&heartbeat(1)),
+    );
+    row(
+        "announcement, full",
+        json(&full_report(1)),
+        binary(&full_report(1)),
+    );
+    let watch = request(None);
+    row("watch request", json(&watch), binary(&watch));
+    row(
+        "watch answer, no change",
+        json(&answer()),
+        binary(&answer()),
+    );
     let changed = [notice(1, 2)];
     row("one upstream in a delta", json(&changed), binary(&changed));
 }
@@ -114,7 +126,7 @@
 fn registry(upstreams: usize) -> Registry {
     let mut registry = Registry::new(1, Time::ZERO);
     for i in 0..upstreams {
-        registry.receive(whole(i), Time::ZERO);
+        registry.receive(full_report(i), Time::ZERO);
     }
     registry
 }
@@ -130,52 +142,53 @@
     println!(
         "{:>9} {:>10} {:>10} {:>9} {:>9} {:>18} {:>18} {:>18} {:>22}",
         "upstreams",
-        "whole JSON",
+        "full JSON",
         "binary",
         "registry",
         "view",
         "heartbeat ns",
         "grant ns",
-        "one changed ns",
-        "whole to JSON us"
+        "one change ns",
+        "full to JSON us"
     );
     for size in SIZES {
         let mut registry = registry(size);
         let update = registry.update_since(None, Time::ZERO);
-        let kept = memory_per_item(size * COPIES, || vec_of(|| self::registry(size)));
-        let seen = memory_per_item(size * COPIES, || vec_of(|| view(&registry)));
-        let beats: Vec<_> = (0..size).map(beat).collect();
-        let heard = nanos(BATCH, |i| {
+        let registry_bytes =
+            memory_per_item(size * COPIES, || build_copies(|| self::registry(size)));
+        let view_bytes = memory_per_item(size * COPIES, || build_copies(|| view(&registry)));
+        let beats: Vec<_> = (0..size).map(heartbeat).collect();
+        let received = nanos(BATCH, |i| {
             black_box(registry.receive(beats[i % size].clone(), Time::ZERO));
         });
         let granted = time_grant(&registry);
         let followed = time_follow(size);
         let encoded = nanos(3, |_| drop(black_box(serde_json::to_vec(&update))));
         println!(
-            "{size:>9} {:>10} {:>10} {kept:>9.0} {seen:>9.0} {heard:>18} {granted:>18} {followed:>18} {:>22}",
+            "{size:>9} {:>10} {:>10} {registry_bytes:>9.0} {view_bytes:>9.0} {received:>18} {granted:>18} {followed:>18} {:>22}",
             json(&update),
             binary(&update),
             micros(&encoded),
         );
     }
-    println!("registry and view: resident bytes an upstream");
+    println!("registry and view: resident bytes per upstream");
 }
 
-fn vec_of<T, F>(build: F) -> Vec<T>
+fn build_copies<T, F>(build: F) -> Vec<T>
 where
     F: Fn() -> T,
 {
     (0..COPIES).map(|_| build()).collect()
 }
 
-/// Shows ns as us.
+/// Converts values separated by slashes from nanoseconds to microseconds.
 fn micros(text: &str) -> String {
     let parts = text.split('/').filter_map(|p| p.parse::<f64>().ok());
     let parts: Vec<_> = parts.map(|p| format!("{:.0}", p / 1e3)).collect();
     parts.join("/")
 }
 
-/// Times the answer to a holder that lacks nothing.
+/// Times the answer to a holder that is up to date.
 fn time_grant(registry: &Registry) -> String {
     let machine = Machine::default();
     let mark = registry.update_since(None, Time::ZERO).mark;
@@ -189,7 +202,7 @@
     })
 }
 
-/// Times one changed announcement, from its report to the view of a follower.
+/// Times one changed announcement from its report until the view of a follower has it.
 fn time_follow(size: usize) -> String {
     let mut registry = registry(size);
     let mut view = view(&registry);
@@ -243,7 +256,7 @@
     );
     for (profiles, workspaces) in DECLARED {
         let held = declarations(profiles, workspaces);
-        let resident = memory_per_item(COPIES, || vec_of(|| held.clone()));
+        let resident = memory_per_item(COPIES, || build_copies(|| held.clone()));
         let mut machine = machine(profiles, workspaces);
         let mut id = 0;
         let applied = nanos(20, |_| {
@@ -274,7 +287,7 @@
     };
     println!("zone out         {}", size(zone(1)));
     println!("one profile      {}", size(apply));
-    println!("\nsnapshot of the control machine after so many orders, one every 13 s");
+    println!("\nsnapshot of the control state machine by number of orders, one every 13 s");
     println!("{:>8} {:>10}", "orders", "bytes");
     for orders in ORDERS {
         let mut machine = machine(MODELS, WORKSPACES);
@@ -287,7 +300,7 @@
         println!("{orders:>8} {:>10}", snapshot.len());
     }
     println!(
-        "an upstream's fencing floor is kept as a name and a number: {} bytes",
+        "fencing floor of an upstream, stored as name and number: {} bytes",
         binary(&("drafting-0001", Incarnation(1_200_000)))
     );
 }
--- a/dev/bench/src/bin/capacity_entry.rs
+++ b/dev/bench/src/bin/capacity_entry.rs
@@ -1,4 +1,4 @@
-//! Slopes of the entry: memory and processor time of the placer, bytes of agents' news.
+//! Per-item costs of the entry: memory and processor time of the placer, size of agent updates.
 
 use std::time::Duration;
 
@@ -17,25 +17,25 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-/// Upstreams that an entry knows.
+/// Numbers of upstreams in the view of an entry.
 const SIZES: [usize; 4] = [100, 1_000, UPSTREAMS, 10_000];
-/// Blocks believed cached, on one hundred upstreams.
+/// Numbers of cached blocks offered for tracking, over all holders.
 const BLOCKS: [usize; 3] = [100_000, 400_000, 1_600_000];
-/// Upstreams of the memory of beliefs.
+/// Upstreams that hold the tracked blocks.
 const HOLDERS: usize = 100;
-/// Blocks of one prompt.
+/// Blocks per prompt.
 const PROMPT_BLOCKS: u64 = 32;
-/// Events in one timed run.
+/// Calls per timed run.
 const BATCH: usize = 2_000;
-/// Cache events in one answer of an agent.
+/// Numbers of cache events in one update of an agent.
 const EVENTS: [usize; 4] = [0, 1, 16, 256];
 /// Seed of all random draws.
 const SEED: u64 = 7_340_033;
 
 fn main() {
     print_placer();
-    print_beliefs();
-    print_news();
+    print_tracked_blocks();
+    print_updates();
 }
 
 fn placer(upstreams: usize) -> Placer {
@@ -105,10 +105,10 @@
         let decided = time_decision(&mut placer);
         println!("{size:>9} {resident:>12.0} {reported:>20} {announced:>20} {decided:>20}");
     }
-    println!("resident: bytes an upstream, declarations included");
+    println!("resident: bytes per upstream, declarations included");
 }
 
-/// Times a decision and the end of its request.
+/// Times a placement decision together with the completion of its request.
 fn time_decision(placer: &mut Placer) -> String {
     let mut rng = ChaCha8Rng::seed_from_u64(SEED);
     let metas: Vec<_> = (0..BATCH).map(meta).collect();
@@ -128,9 +128,9 @@
     })
 }
 
-fn print_beliefs() {
-    println!("\nbeliefs about cached blocks, {HOLDERS} upstreams, each block on one");
-    println!("{:>10} {:>10} {:>12}", "offered", "kept", "B a block");
+fn print_tracked_blocks() {
+    println!("\ntracking of cached blocks, {HOLDERS} upstreams, each block on one");
+    println!("{:>10} {:>10} {:>12}", "offered", "kept", "B per block");
     for blocks in BLOCKS {
         let mut kept = 0;
         let total = memory_per_item(1, || {
@@ -150,7 +150,7 @@
         store(&mut placer, next);
         next += 1;
     });
-    println!("one event of one block, ns min/median/max {stored}");
+    println!("event with one block, ns min/median/max {stored}");
 }
 
 fn store(placer: &mut Placer, i: usize) {
@@ -162,22 +162,22 @@
     placer.observe_cache(&announcement(i % HOLDERS).upstream, event, Time::ZERO);
 }
 
-fn print_news() {
-    let order = UpdateRequest {
+fn print_updates() {
+    let request = UpdateRequest {
         incarnation: Incarnation(1_764_800_000_000_000),
         sequence: 1_000_000,
     };
-    println!("\nnews of one agent, bytes without HTTP headers");
-    let bytes = |encoded: Result<Vec<u8>, _>| encoded.expect("news encode").len();
-    println!("question {}", bytes(postcard::to_stdvec(&order)));
+    println!("\nupdate of one agent, bytes without HTTP headers");
+    let bytes = |encoded: Result<Vec<u8>, _>| encoded.expect("updates encode").len();
+    println!("request {}", bytes(postcard::to_stdvec(&request)));
     println!("{:>8} {:>8}", "events", "bytes");
     for events in EVENTS {
-        let news = UpstreamUpdate {
+        let update = UpstreamUpdate {
             epoch: LedgerEpoch(1_764_800_000_000_000),
             report: report(1_000_000),
             events: (0..events).map(event).collect(),
         };
-        println!("{events:>8} {:>8}", bytes(postcard::to_stdvec(&news)));
+        println!("{events:>8} {:>8}", bytes(postcard::to_stdvec(&update)));
     }
 }
 
--- a/dev/bench/src/bin/capacity_group.rs
+++ b/dev/bench/src/bin/capacity_group.rs
@@ -1,4 +1,4 @@
-//! Slopes of a group's coordinator and of the replicas' own messages, in bytes.
+//! Per-item costs of a group's coordinator, and sizes of the messages between replicas.
 
 use pimentotide_bench::measure::{memory_per_item, nanos};
 use pimentotide_consensus::{
@@ -8,18 +8,18 @@
 use pimentotide_model::{Term, Time};
 use serde::Serialize;
 
-/// Ranks of a group.
+/// Numbers of ranks in a group.
 const RANKS: [u16; 4] = [32, 64, 128, 256];
-/// Layers with experts.
+/// Number of layers with experts.
 const LAYERS: u16 = 60;
-/// Experts in each layer.
+/// Number of experts per layer.
 const EXPERTS: u16 = 128;
-/// Ranks of one node.
+/// Number of ranks per node.
 const NODE_RANKS: u16 = 8;
-/// Tokens that one rank routes in a layer between two reports.
+/// Tokens that one rank routes per layer between two reports.
 const RANK_TOKENS: [u32; 3] = [1_000, 10_000, 100_000];
-/// Bytes of the commands in an append.
-const COMMANDS: [usize; 3] = [50, 567, 4_096];
+/// Sizes of the command in an append, in bytes.
+const COMMAND_BYTES: [usize; 3] = [50, 567, 4_096];
 
 fn main() {
     print_maps();
@@ -54,7 +54,7 @@
     );
     let weights = vec![1.0; usize::from(LAYERS) * usize::from(EXPERTS)];
     for ranks in RANKS {
-        // Two slots a rank at least, and twice as many as there are experts.
+        // Slots for two copies of each expert, and at least two slots per rank.
         let slots = (2 * EXPERTS / ranks).max(2);
         let layout = layout(ranks, slots);
         let speeds = vec![1.0; usize::from(ranks)];
@@ -75,7 +75,7 @@
 
 fn print_counts() {
     println!("\nreport of one rank to its coordinator");
-    println!("{:>14} {:>12} {:>12}", "tokens a layer", "counts", "step");
+    println!("{:>14} {:>12} {:>12}", "tokens / layer", "counts", "step");
     for tokens in RANK_TOKENS {
         let counts = TokenCounts {
             reporter: 200,
@@ -119,12 +119,12 @@
     };
     println!("\nmessage of a replica      binary  base64");
     row("heartbeat", Message::Heartbeat { commit, sent });
-    row("its answer", Message::HeartbeatReply { sent });
+    row("heartbeat reply", Message::HeartbeatReply { sent });
     let id = LogId {
         term: Term(40),
         index: commit,
     };
-    for size in COMMANDS {
+    for size in COMMAND_BYTES {
         let entry = Entry {
             id,
             time: sent,
@@ -139,5 +139,5 @@
         row(&format!("append of {size} bytes"), append);
     }
     let matched = commit;
-    row("its answer", Message::Appended { matched, sent });
+    row("append reply", Message::Appended { matched, sent });
 }
--- a/dev/bench/src/bin/capacity_stream.rs
+++ b/dev/bench/src/bin/capacity_stream.rs
@@ -1,7 +1,8 @@
-//! Processor time of a request and of a token through entry and agent, and memory of an open stream.
+//! Processor time per request and token in entry and agent, and memory per open stream.
 //!
-//! Engine, agent, entry and callers share this process, so that each figure is
-//! the difference between the same load through both and straight to the engine.
+//! Engine, agent, entry and callers share this process. The cost of entry and
+//! agent is the difference between the same load through both of them and
+//! directly to the engine.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -12,21 +13,21 @@
 use pimentotide_bench::measure::resident_bytes;
 use pimentotide_bench::pair::{MODEL, start_deployment};
 
-/// Tokens of an answer.
+/// Tokens per answer.
 const TOKENS: [u32; 3] = [1, 32, 128];
-/// Streams open at once.
+/// Concurrent streams.
 const STREAMS: [u32; 3] = [125, 250, 500];
-/// Tokens of a stream that stays open while memory is read.
+/// Tokens of a stream that stays open while memory is sampled.
 const LONG_TOKENS: u32 = 1_000;
-/// Runs of each size.
+/// Runs per size.
 const RUNS: usize = 5;
-/// Requests offered a second.
+/// Requests per second.
 const RATE: u32 = 200;
-/// Time for which load is offered.
+/// Duration of the load.
 const LENGTH: Duration = Duration::from_secs(1);
-/// Time between two looks at the memory.
-const LOOK: Duration = Duration::from_millis(20);
-/// Unit of processor time in `/proc`.
+/// Time between two samples of the memory.
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(20);
+/// Clock ticks per second, the unit of processor time in `/proc`.
 const TICKS_PER_SECOND: f64 = 100.0;
 
 fn main() {
@@ -35,27 +36,29 @@
 
 async fn run() {
     let (engine, agent, entry, _view) = start_deployment().await;
-    let (direct, proxied) = (engine.address(), entry.address());
-    offer(&load(proxied, 1, RATE)).await;
-    println!("processor time of entry and agent, streamed, us a request, min/median/max of {RUNS}");
-    println!("{:>8} {:>22} {:>10}", "tokens", "us a request", "failed");
+    let (engine_address, entry_address) = (engine.address(), entry.address());
+    offer(&load(entry_address, 1, RATE)).await;
+    println!(
+        "processor time of entry and agent, streamed, us per request, min/median/max of {RUNS}"
+    );
+    println!("{:>8} {:>22} {:>10}", "tokens", "us per request", "failed");
     for tokens in TOKENS {
         let mut added = Vec::new();
         let mut failed = 0;
         for _ in 0..RUNS {
-            let straight = cost(&load(direct, tokens, RATE)).await;
-            let through = cost(&load(proxied, tokens, RATE)).await;
-            added.push(through.0 - straight.0);
-            failed += straight.1 + through.1;
+            let direct = cost(&load(engine_address, tokens, RATE)).await;
+            let proxied = cost(&load(entry_address, tokens, RATE)).await;
+            added.push(proxied.0 - direct.0);
+            failed += direct.1 + proxied.1;
         }
-        println!("{tokens:>8} {:>22} {failed:>10}", spread(added));
+        println!("{tokens:>8} {:>22} {failed:>10}", min_median_max(added));
     }
     println!("\nresident memory at the peak, all in one process, KiB");
     println!("{:>8} {:>10} {:>10}", "streams", "direct", "proxied");
     for streams in STREAMS {
-        let straight = peak(&load(direct, LONG_TOKENS, streams)).await;
-        let through = peak(&load(proxied, LONG_TOKENS, streams)).await;
-        println!("{streams:>8} {:>10} {:>10}", straight >> 10, through >> 10);
+        let direct = peak(&load(engine_address, LONG_TOKENS, streams)).await;
+        let proxied = peak(&load(entry_address, LONG_TOKENS, streams)).await;
+        println!("{streams:>8} {:>10} {:>10}", direct >> 10, proxied >> 10);
     }
     entry.stop().await;
     agent.stop().await;
@@ -75,7 +78,7 @@
     }
 }
 
-/// Processor time of the whole process in us a request, and failures.
+/// Processor time of the whole process in microseconds per request, and failed requests.
 async fn cost(load: &Load) -> (f64, u64) {
     let before = processor_seconds();
     let outcome = offer(load).await;
@@ -86,15 +89,15 @@
 /// Highest resident memory while the load runs.
 async fn peak(load: &Load) -> u64 {
     let highest = Rc::new(Cell::new(0));
-    let seen = Rc::clone(&highest);
-    let look = actix_rt::spawn(async move {
+    let peak = Rc::clone(&highest);
+    let sampler = actix_rt::spawn(async move {
         loop {
-            seen.set(seen.get().max(resident_bytes()));
-            tokio::time::sleep(LOOK).await;
+            peak.set(peak.get().max(resident_bytes()));
+            tokio::time::sleep(SAMPLE_INTERVAL).await;
         }
     });
     offer(load).await;
-    look.abort();
+    sampler.abort();
     highest.get()
 }
 
@@ -105,7 +108,7 @@
     ticks.filter_map(|t| t.parse::<f64>().ok()).sum::<f64>() / TICKS_PER_SECOND
 }
 
-fn spread(mut values: Vec<f64>) -> String {
+fn min_median_max(mut values: Vec<f64>) -> String {
     values.sort_by(f64::total_cmp);
     let last = values.len() - 1;
     let [low, median, high] = [values[0], values[last / 2], values[last]];
--- a/dev/bench/src/bin/capacity_watch.rs
+++ b/dev/bench/src/bin/capacity_watch.rs
@@ -1,7 +1,8 @@
-//! Bytes a second between one control replica and its holders at rest.
+//! Bytes per second between one control replica and its idle holders.
 //!
-//! Real reporters and followers talk to a real replica's port through a relay
-//! that counts the bytes of both directions, without TCP and IP headers.
+//! Production reporters and followers connect to the port of a production
+//! directory through a relay that counts the bytes of both directions, without
+//! TCP and IP headers.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -22,13 +23,13 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// Holders of each kind.
+/// Numbers of holders of each kind.
 const SIZES: [usize; 3] = [10, 40, 160];
-/// Time before counting, longer than a replica takes to settle.
+/// Time before counting starts; a replica settles in less.
 const WARM_UP: Duration = Duration::from_secs(6);
-/// Time of counting.
-const COUNTED: Duration = Duration::from_secs(8);
-/// Bytes read from a connection at once.
+/// Time for which bytes are counted.
+const COUNT_TIME: Duration = Duration::from_secs(8);
+/// Buffer for reads from a connection.
 const BUFFER_BYTES: usize = 64 << 10;
 
 #[derive(Clone, Default)]
@@ -51,7 +52,7 @@
     }
 }
 
-/// Bytes that passed the relay.
+/// Bytes forwarded by the relay; inward is towards the replica.
 #[derive(Default)]
 struct Counts {
     inward: AtomicU64,
@@ -65,7 +66,7 @@
     }
 }
 
-/// What keeps the holders running.
+/// Tasks of one holder; they stop when it is dropped.
 enum Holder {
     Agent {
         _reporter: AgentReporter,
@@ -82,10 +83,10 @@
 }
 
 async fn run() {
-    println!("bytes a second at one replica, at rest, counted for {COUNTED:?}");
+    println!("bytes per second at one replica, idle holders, counted for {COUNT_TIME:?}");
     println!(
         "{:>8} {:>8} {:>12} {:>12} {:>14}",
-        "kind", "holders", "in B/s", "out B/s", "both a holder"
+        "kind", "holders", "in B/s", "out B/s", "both / holder"
     );
     let cases = [false, true]
         .into_iter()
@@ -114,10 +115,10 @@
         .collect();
     tokio::time::sleep(WARM_UP).await;
     let before = counts.get();
-    tokio::time::sleep(COUNTED).await;
+    tokio::time::sleep(COUNT_TIME).await;
     let after = counts.get();
     drop(held);
-    let rate = |bytes: u64| bytes as f64 / COUNTED.as_secs_f64();
+    let rate = |bytes: u64| bytes as f64 / COUNT_TIME.as_secs_f64();
     let (inward, outward) = (rate(after.0 - before.0), rate(after.1 - before.1));
     let each = (inward + outward) / holders as f64;
     let kind = if entries { "entry" } else { "agent" };
@@ -134,9 +135,9 @@
     });
     let reporter = AgentReporter::spawn(AgentOptions {
         replicas: vec![client],
-        announcement: lasting(Some(announcement)),
-        warmth: lasting(Warmth::Warm),
-        fence: lasting(Fence(1_200_000)),
+        announcement: constant_watch(Some(announcement)),
+        warmth: constant_watch(Warmth::Warm),
+        fence: constant_watch(Fence(1_200_000)),
         view: follower.view(),
     });
     Holder::Agent {
@@ -165,8 +166,8 @@
     }
 }
 
-/// A value that is watched for as long as the process runs.
-fn lasting<T>(value: T) -> watch::Receiver<T>
+/// Returns a receiver of a constant value whose sender is never dropped.
+fn constant_watch<T>(value: T) -> watch::Receiver<T>
 where
     T: Send + Sync + 'static,
 {
@@ -174,7 +175,7 @@
     sender.subscribe()
 }
 
-/// Passes connections on to `target` and counts their bytes.
+/// Forwards connections to `target` and counts their bytes; returns the listening address.
 async fn relay(target: SocketAddr, counts: Arc<Counts>) -> SocketAddr {
     let listener = TcpListener::bind(any_port()).await;
     let listener = listener.expect("a loopback port is free");
@@ -187,14 +188,14 @@
             let (near_read, near_write) = near.into_split();
             let (far_read, far_write) = far.into_split();
             let (first, second) = (Arc::clone(&counts), Arc::clone(&counts));
-            tokio::spawn(async move { pump(near_read, far_write, &first.inward).await });
-            tokio::spawn(async move { pump(far_read, near_write, &second.outward).await });
+            tokio::spawn(async move { forward(near_read, far_write, &first.inward).await });
+            tokio::spawn(async move { forward(far_read, near_write, &second.outward).await });
         }
     });
     address
 }
 
-async fn pump(mut from: OwnedReadHalf, mut to: OwnedWriteHalf, count: &AtomicU64) {
+async fn forward(mut from: OwnedReadHalf, mut to: OwnedWriteHalf, count: &AtomicU64) {
     let mut buffer = vec![0; BUFFER_BYTES];
     while let Ok(read) = from.read(&mut buffer).await {
         if read == 0 || to.write_all(&buffer[..read]).await.is_err() {
--- a/dev/bench/src/bin/choice.rs
+++ b/dev/bench/src/bin/choice.rs
@@ -1,6 +1,6 @@
-//! Compares policies of choosing an upstream under stale load reports.
+//! Comparison of upstream selection policies under stale load reports.
 //!
-//! `choice [RUNS] [CHOICES] [POLICY]` prints, for each scene and lag, the median over the runs.
+//! `choice [RUNS] [CHOICES] [POLICY]` prints, for each scenario and lag, the medians over the runs.
 
 use std::time::Duration;
 
@@ -13,6 +13,7 @@
 const CAPACITY: u32 = 16;
 const WARM_UP: Duration = Duration::from_secs(15);
 const LENGTH: Duration = Duration::from_secs(45);
+/// Delays of load reports.
 const LAGS: [Duration; 2] = [Duration::from_millis(250), Duration::from_millis(2_500)];
 const POLICIES: [(Policy, Spread); 6] = [
     (Policy::RoundRobin, Spread::Even),
@@ -23,42 +24,42 @@
     (Policy::Placer, Spread::Near),
 ];
 
-/// Scene of the comparison.
-struct Scene {
+/// Load and engines of one comparison.
+struct Scenario {
     name: &'static str,
     rate: f64,
     first_zone: f64,
-    slow: bool,
+    slow_engine: bool,
     documents: bool,
 }
 
-const SCENES: [Scene; 4] = [
-    Scene {
+const SCENARIOS: [Scenario; 4] = [
+    Scenario {
         name: "even",
         rate: 120.0,
         first_zone: 1.0 / 3.0,
-        slow: false,
+        slow_engine: false,
         documents: false,
     },
-    Scene {
+    Scenario {
         name: "uneven",
         rate: 120.0,
         first_zone: 0.7,
-        slow: false,
+        slow_engine: false,
         documents: false,
     },
-    Scene {
+    Scenario {
         name: "one slow",
         rate: 110.0,
         first_zone: 1.0 / 3.0,
-        slow: true,
+        slow_engine: true,
         documents: false,
     },
-    Scene {
+    Scenario {
         name: "hot prefixes",
         rate: 100.0,
         first_zone: 1.0 / 3.0,
-        slow: false,
+        slow_engine: false,
         documents: true,
     },
 ];
@@ -82,36 +83,36 @@
         "refused",
         "bounced",
     );
-    for scene in &SCENES {
+    for scenario in &SCENARIOS {
         for lag in LAGS {
-            let wanted =
+            let selected =
                 |(p, _): &(Policy, Spread)| only.as_ref().is_none_or(|o| *o == p.to_string());
-            for (policy, spread) in POLICIES.into_iter().filter(wanted) {
+            for (policy, spread) in POLICIES.into_iter().filter(selected) {
                 let summaries: Vec<Summary> = (0..runs)
-                    .map(|s| run(scene, lag, (policy, spread), choices, s))
+                    .map(|s| run(scenario, lag, (policy, spread), choices, s))
                     .collect();
-                print_row(scene, lag, (policy, spread), &median(&summaries));
+                print_row(scenario, lag, (policy, spread), &median(&summaries));
             }
         }
     }
 }
 
 fn run(
-    scene: &Scene,
+    scenario: &Scenario,
     lag: Duration,
     (policy, spread): (Policy, Spread),
     choices: usize,
     seed: u64,
 ) -> Summary {
     let load = Load {
-        rate: scene.rate,
+        rate: scenario.rate,
         length: LENGTH,
-        first_zone: scene.first_zone,
-        documents: scene.documents,
+        first_zone: scenario.first_zone,
+        documents: scenario.documents,
         deadline: Duration::from_secs(10),
     };
     let mut engines = vec![1.0; ENGINES];
-    if scene.slow {
+    if scenario.slow_engine {
         engines[3] = 3.0;
     }
     let settings = WorldSettings {
@@ -132,15 +133,15 @@
     summarize(&world.results, Time::ZERO + WARM_UP, end)
 }
 
-fn print_row(scene: &Scene, lag: Duration, (policy, spread): (Policy, Spread), s: &Summary) {
-    let three = |v: &[f64; 3]| format!("{:.0}/{:.0}/{:.0}", v[0], v[1], v[2]);
+fn print_row(scenario: &Scenario, lag: Duration, (policy, spread): (Policy, Spread), s: &Summary) {
+    let format_values = |v: &[f64; 3]| format!("{:.0}/{:.0}/{:.0}", v[0], v[1], v[2]);
     println!(
         "{:<13}{:>6} {:<15}{:>23}{:>23}{:>9.1}{:>7.3}{:>9.4}{:>9.3}",
-        scene.name,
+        scenario.name,
         lag.as_millis(),
-        name(policy, spread),
-        three(&s.first),
-        three(&s.total),
+        policy_name(policy, spread),
+        format_values(&s.first),
+        format_values(&s.total),
         s.goodput,
         s.hits,
         s.refused,
@@ -148,7 +149,7 @@
     );
 }
 
-fn name(policy: Policy, spread: Spread) -> String {
+fn policy_name(policy: Policy, spread: Spread) -> String {
     match (policy, spread) {
         (Policy::Placer, Spread::Near) => "placer, near".to_owned(),
         _ => policy.to_string(),
--- a/dev/bench/src/bin/consensus_soak.rs
+++ b/dev/bench/src/bin/consensus_soak.rs
@@ -1,9 +1,9 @@
-//! Long run of the replicated log under every fault, checked after every step.
+//! Long simulation of the replicated log under all faults, checked after every step.
 //!
 //! Usage: `consensus_soak [--steps N] [--seed N] [--hosts N]`. The run consists
-//! of episodes of their own seed, each of which ends with all faults healed and
-//! a check that the replicas agree. A broken rule ends the run with the rule
-//! and the seed of its episode.
+//! of episodes with a seed each; an episode ends by healing all faults and
+//! checking that the replicas agree. A violated invariant aborts the run with
+//! the invariant and the seed of its episode.
 
 #[allow(dead_code, reason = "the tests of the log use more of it")]
 #[path = "../../../../decision/consensus/tests/it/sim/mod.rs"]
@@ -13,7 +13,7 @@
 
 use sim::{Counts, Faults, World};
 
-/// Steps of one episode.
+/// Steps per episode.
 const EPISODE_STEPS: u64 = 50_000;
 
 struct Arguments {
@@ -55,7 +55,11 @@
         total.add(&episode(seed, arguments.hosts));
         seed += 1;
     }
-    println!("seeds {} to {}, no rule broken", arguments.seed, seed - 1);
+    println!(
+        "seeds {} to {}, no invariant violated",
+        arguments.seed,
+        seed - 1
+    );
     println!("{total:#?}");
     ExitCode::SUCCESS
 }
--- a/dev/bench/src/bin/currency.rs
+++ b/dev/bench/src/bin/currency.rs
@@ -1,9 +1,9 @@
-//! Time from an applied order to its being in force at every holder, over loopback.
+//! Time from applying an order until it is in force at every holder, over loopback.
 //!
-//! Three replicas share one machine in memory, so the time to replicate an
-//! order is left out. Nine entries and fifteen agents follow them. The cost of
-//! applying an order is shown for several numbers of declared profiles, as a
-//! ratio to the smallest.
+//! Three replicas share one state machine in memory, so replication time is
+//! excluded. Nine entries and fifteen agents follow them. The cost of applying
+//! an order is printed for several numbers of declared profiles, as a ratio to
+//! the smallest.
 
 use std::time::{Duration, Instant};
 
@@ -20,10 +20,14 @@
 const AGENTS: usize = 15;
 const REPLICAS: u64 = 3;
 const RUNS: usize = 5;
+/// Orders per run.
 const ORDERS: u64 = 100;
+/// Numbers of declared profiles.
 const PROFILES: [usize; 3] = [10, 100, 1_000];
-const APPLIED: u32 = 20;
-const GOAL: Duration = Duration::from_secs(1);
+/// Orders per timing of the state machine.
+const APPLY_BATCH: u32 = 20;
+/// Target for the 99th percentile.
+const TARGET: Duration = Duration::from_secs(1);
 
 #[derive(Clone, Default)]
 struct State {
@@ -81,7 +85,7 @@
 }
 
 fn main() {
-    apply_cost();
+    print_apply_cost();
     actix_rt::System::new().block_on(async {
         let mut rows = Vec::new();
         for _ in 0..RUNS {
@@ -91,8 +95,8 @@
     });
 }
 
-/// Prints what one order costs, by number of profiles.
-fn apply_cost() {
+/// Prints the cost of applying one order, by number of profiles.
+fn print_apply_cost() {
     println!("profiles  apply min/median/max us  ratio  snapshot bytes");
     let mut base = None;
     for profiles in PROFILES {
@@ -111,7 +115,7 @@
     }
 }
 
-fn declared(profiles: usize) -> Machine {
+fn machine_with(profiles: usize) -> Machine {
     let mut document = Document::default();
     for i in 0..profiles {
         let name = ProfileName::from(format!("profile-{i}"));
@@ -129,24 +133,26 @@
 }
 
 fn apply_time(profiles: usize) -> Duration {
-    let mut machine = declared(profiles);
+    let mut machine = machine_with(profiles);
     let start = Instant::now();
-    for id in 1..=APPLIED {
+    for id in 1..=APPLY_BATCH {
         machine.apply(Time::ZERO, &order(u64::from(id), zone(u64::from(id))));
     }
-    start.elapsed() / APPLIED
+    start.elapsed() / APPLY_BATCH
 }
 
 fn snapshot_bytes(profiles: usize) -> usize {
-    declared(profiles).snapshot().map_or(0, |bytes| bytes.len())
+    machine_with(profiles)
+        .snapshot()
+        .map_or(0, |bytes| bytes.len())
 }
 
-/// Measures one run: each order at each holder.
+/// Runs all orders; records the time of each order at each holder, in microseconds.
 async fn push_times() -> Histogram<u64> {
     let state = State::default();
     let mut servers = Vec::new();
     for epoch in 0..REPLICAS {
-        servers.push(serve(&state, epoch).await);
+        servers.push(start_replica(&state, epoch).await);
     }
     let addresses: Vec<_> = servers.iter().map(PeerServer::address).collect();
     let followers: Vec<_> = (0..ENTRIES + AGENTS)
@@ -163,14 +169,14 @@
         .collect();
     let mut views: Vec<_> = followers.iter().map(Follower::view).collect();
     for view in &mut views {
-        wait(view, |v| v.is_current()).await;
+        wait_until(view, |v| v.is_current()).await;
     }
     let mut times = Histogram::new(3).expect("three digits are supported");
     for id in 1..=ORDERS {
         let start = Instant::now();
         let revision = state.apply(id, zone(id));
         let waits = views.iter_mut().map(|view| async move {
-            wait(view, |v| v.declarations.revision >= revision).await;
+            wait_until(view, |v| v.declarations.revision >= revision).await;
             start.elapsed()
         });
         for time in futures_util::future::join_all(waits).await {
@@ -181,7 +187,7 @@
     times
 }
 
-async fn serve(state: &State, epoch: u64) -> PeerServer {
+async fn start_replica(state: &State, epoch: u64) -> PeerServer {
     let directory = Directory::spawn(state.clone(), epoch);
     let module = directory.module().expect("the methods have distinct names");
     let address = ([127, 0, 0, 1], 0).into();
@@ -189,7 +195,7 @@
     server.expect("a loopback port is free")
 }
 
-async fn wait<F>(view: &mut watch::Receiver<View>, test: F)
+async fn wait_until<F>(view: &mut watch::Receiver<View>, test: F)
 where
     F: FnMut(&View) -> bool,
 {
@@ -208,5 +214,5 @@
         let [low, median, high] = [values[0], values[RUNS / 2], values[RUNS - 1]];
         println!("{name:<14}  {low:>8} {median:>8} {high:>8}");
     }
-    println!("goal: p99 under {} us", GOAL.as_micros());
+    println!("target: p99 under {} us", TARGET.as_micros());
 }
--- a/dev/bench/src/bin/decision_cost.rs
+++ b/dev/bench/src/bin/decision_cost.rs
@@ -1,7 +1,7 @@
-//! Time of one decision by the number of upstreams.
+//! Time of one placement decision by the number of upstreams.
 //!
-//! `decision_cost [RUNS]` prints min, median and max over the runs, and the
-//! ratio of the medians to that of the smallest fleet.
+//! `decision_cost [RUNS]` prints minimum, median and maximum over the runs, and
+//! the ratio of each median to that of the smallest fleet.
 
 use std::hint::black_box;
 use std::time::{Duration, Instant};
@@ -19,13 +19,15 @@
 
 const ZONES: [&str; 3] = ["ge-east-a", "ge-east-b", "ge-east-c"];
 const COUNTS: [usize; 3] = [12, 300, 3_300];
+/// Decisions per run.
 const DECISIONS: u32 = 20_000;
 const CAPACITY: u32 = 16;
-/// Blocks of each prompt, and prompts that upstreams are believed to hold.
+/// Blocks per prompt.
 const PROMPT_BLOCKS: u64 = 64;
+/// Distinct prompts; each upstream is reported to cache one of them.
 const PROMPTS: u64 = 2_000;
-/// Part of the upstreams that is full, so that draws miss.
-const FULL_PART: f64 = 0.3;
+/// Ratio of upstreams that are full, so that some candidate draws find no free one.
+const FULL_RATIO: f64 = 0.3;
 
 fn main() {
     let runs: usize = std::env::args()
@@ -40,27 +42,27 @@
     let mut first = None;
     for count in COUNTS {
         let mut places = Vec::new();
-        let mut ends = Vec::new();
+        let mut finishes = Vec::new();
         let mut spilled = 0;
         for seed in 0..runs {
             let run = measure(count, seed as u64);
             places.push(run.place);
-            ends.push(run.finish);
+            finishes.push(run.finish);
             spilled += run.spilled;
         }
-        let place = spread(&mut places);
+        let place = min_median_max(&mut places);
         let median = place[1];
         let base = *first.get_or_insert(median);
         println!(
             "{count:>10}{:>30}{:>30}{:>8.2}{spilled:>9}",
-            three(place),
-            three(spread(&mut ends)),
+            format_values(place),
+            format_values(min_median_max(&mut finishes)),
             median / base,
         );
     }
 }
 
-/// Figures of one run.
+/// Mean times of one run in microseconds, and the number of spilled decisions.
 struct Run {
     place: f64,
     finish: f64,
@@ -111,7 +113,7 @@
         let announcement = announcement(index);
         let name = announcement.upstream.clone();
         placer.announce(announcement);
-        let full = rng.random::<f64>() < FULL_PART;
+        let full = rng.random::<f64>() < FULL_RATIO;
         let running = if full {
             CAPACITY
         } else {
@@ -199,8 +201,8 @@
         .collect()
 }
 
-/// Min, median and max.
-fn spread(values: &mut [f64]) -> [f64; 3] {
+/// Returns minimum, median and maximum.
+fn min_median_max(values: &mut [f64]) -> [f64; 3] {
     values.sort_by(f64::total_cmp);
     [
         values[0],
@@ -209,6 +211,6 @@
     ]
 }
 
-fn three(values: [f64; 3]) -> String {
+fn format_values(values: [f64; 3]) -> String {
     format!("{:.2}/{:.2}/{:.2}", values[0], values[1], values[2])
 }
--- a/dev/bench/src/bin/even_plan.rs
+++ b/dev/bench/src/bin/even_plan.rs
@@ -1,4 +1,4 @@
-//! Time of one plan for engines that share evenly, by ranks, layers and experts.
+//! Time of one plan for engines that split tokens evenly over holders, by ranks, layers and experts.
 
 use std::hint::black_box;
 
@@ -7,14 +7,14 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// Plans in each timed run.
+/// Plans per timed run.
 const PLANS: usize = 3;
-/// Most loaded rank over the mean that a plan aims at.
-const GOAL: f64 = 1.1;
-/// How steeply popularity falls with rank.
+/// Target ratio of the most loaded rank to the mean.
+const TARGET_RATIO: f64 = 1.1;
+/// Twice the exponent by which popularity falls with rank.
 const SKEW: f64 = 1.3;
 
-/// Experts dealt to the ranks in turn, as in the first map.
+/// Assigns the experts to the ranks round-robin, as in the first map.
 fn first_map(layout: &EvenLayout, layers: usize) -> Placement {
     let rank = |r: usize| {
         let experts = (0..layout.experts).filter(|e| e % layout.ranks == r);
@@ -23,7 +23,7 @@
     vec![(0..layout.ranks).map(rank).collect(); layers]
 }
 
-/// Popularity that falls by a power, in a random order in each layer.
+/// Draws token counts by a power law, shuffled in each layer.
 fn counts(layout: &EvenLayout, layers: usize, rng: &mut ChaCha8Rng) -> Vec<f64> {
     let mut counts = Vec::new();
     for _ in 0..layers {
@@ -39,7 +39,7 @@
 }
 
 fn main() {
-    println!("ranks layers experts: ns a plan, min/median/max of {RUNS}, before, after, copies");
+    println!("ranks layers experts: ns per plan, min/median/max of {RUNS}, before, after, copies");
     let sizes = [
         (12, 4, 72, 8, 3),
         (63, 8, 252, 5, 2),
@@ -59,10 +59,10 @@
             .map(|_| counts(&layout, layers, &mut rng))
             .collect();
         let time = nanos(PLANS, |n| {
-            black_box(plan_even(&layout, &current, &counts[n], GOAL));
+            black_box(plan_even(&layout, &current, &counts[n], TARGET_RATIO));
         });
-        let plan = plan_even(&layout, &current, &counts[PLANS], GOAL);
-        let told = (plan.before, plan.after, plan.copies);
-        println!("{ranks} {layers} {experts}: {time}, {told:.2?}");
+        let plan = plan_even(&layout, &current, &counts[PLANS], TARGET_RATIO);
+        let figures = (plan.before, plan.after, plan.copies);
+        println!("{ranks} {layers} {experts}: {time}, {figures:.2?}");
     }
 }
--- a/dev/bench/src/bin/expert_cost.rs
+++ b/dev/bench/src/bin/expert_cost.rs
@@ -1,8 +1,8 @@
-//! Cost of loading weights: shares of the store, and copies from peers.
+//! Cost of loading weights: shares of the store's rate, and copies from peers.
 //!
-//! Cold starts and rebalances of three coordinators draw on one store. Leased
-//! shares run against a fixed split by coordinator and against leases that make
-//! no difference between cold starts and rebalances.
+//! Cold starts and rebalances of three coordinators load from one store. Leased
+//! shares run against a fixed split by coordinator and against leases that give
+//! cold starts no priority over rebalances.
 
 use std::time::Duration;
 
@@ -17,31 +17,33 @@
 /// Seed of all random draws.
 const SEED: u64 = 7_340_033;
 
-/// Rate of the store, bytes in a second.
-const RATE: u64 = 1 << 30;
+/// Rate of the store, in bytes per second.
+const STORE_RATE: u64 = 1 << 30;
 
-/// Most that one load can take, bytes in a second.
-const LINK: u64 = 512 << 20;
+/// Highest rate of one load, in bytes per second.
+const MAX_LOAD_RATE: u64 = 512 << 20;
 
-/// Coordinators that share the store.
+/// Number of coordinators that share the store.
 const COORDINATORS: u64 = 3;
 
-/// Virtual time of a run.
-const RUN: Duration = Duration::from_secs(2 * 3600);
+/// Length of a run in virtual time; loads in progress still finish.
+const RUN_TIME: Duration = Duration::from_secs(2 * 3600);
 
 /// Step of virtual time.
 const TICK: Duration = Duration::from_millis(250);
 
 /// Time before its end at which a lease is renewed.
-const RENEW: Duration = Duration::from_secs(1);
+const RENEW_MARGIN: Duration = Duration::from_secs(1);
 
+/// Method of sharing the rate of the store.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Way {
+enum Sharing {
     Leased,
     NoPriority,
     FixedSplit,
 }
 
+/// One load of weights; `left` is in bytes.
 struct Job {
     id: OrderId,
     purpose: Purpose,
@@ -52,6 +54,7 @@
     until: Time,
 }
 
+/// Figures collected over one run; times in seconds.
 #[derive(Default)]
 struct Tally {
     cold: Vec<f64>,
@@ -73,7 +76,7 @@
             until: Time::ZERO,
         });
     };
-    for second in (0..RUN.as_secs()).step_by(10) {
+    for second in (0..RUN_TIME.as_secs()).step_by(10) {
         let start = Time::ZERO + Duration::from_secs(second);
         if rng.random_bool(0.10) {
             let coordinator = rng.random_range(0..COORDINATORS);
@@ -93,7 +96,7 @@
                 coordinator,
             );
         }
-        // A zone comes back: four cold starts at once, every half hour.
+        // A zone returns: four simultaneous cold starts every half hour.
         if second % 1800 == 900 {
             (0..4).for_each(|n| job(start, Purpose::ColdStart, 30.0, n % COORDINATORS));
         }
@@ -101,13 +104,13 @@
     jobs
 }
 
-fn grant(way: Way, budget: &mut Budget, job: &mut Job, share: u64, now: Time) {
-    if way == Way::FixedSplit {
-        job.rate = LINK.min(share);
+fn grant(sharing: Sharing, budget: &mut Budget, job: &mut Job, share: u64, now: Time) {
+    if sharing == Sharing::FixedSplit {
+        job.rate = MAX_LOAD_RATE.min(share);
         job.until = now + LEASE;
         return;
     }
-    let purpose = if way == Way::Leased {
+    let purpose = if sharing == Sharing::Leased {
         job.purpose
     } else {
         Purpose::Rebalance
@@ -115,25 +118,25 @@
     let request = LeaseRequest {
         id: job.id.clone(),
         purpose,
-        rate: LINK,
+        rate: MAX_LOAD_RATE,
     };
-    let wanted = job.until < now + RENEW;
-    if let Some(lease) = wanted.then(|| budget.lease(&request, now)).flatten() {
+    let due = job.until < now + RENEW_MARGIN;
+    if let Some(lease) = due.then(|| budget.lease(&request, now)).flatten() {
         job.rate = lease.rate;
         job.until = lease.until - LEASE_MARGIN;
     }
 }
 
-fn run(way: Way, moves: f64) -> Tally {
+fn run(sharing: Sharing, moves: f64) -> Tally {
     let mut rng = ChaCha8Rng::seed_from_u64(SEED);
     let mut waiting = arrivals(&mut rng, moves);
     waiting.reverse();
     let mut budget = Budget::default();
-    budget.set_rate(RATE);
+    budget.set_rate(STORE_RATE);
     let mut active: Vec<Job> = Vec::new();
     let mut tally = Tally::default();
     let mut now = Time::ZERO;
-    while now < Time::ZERO + RUN || !active.is_empty() {
+    while now < Time::ZERO + RUN_TIME || !active.is_empty() {
         while waiting.last().is_some_and(|j| j.start <= now) {
             active.extend(waiting.pop());
         }
@@ -143,8 +146,8 @@
             .for_each(|j| counts[j.coordinator as usize] += 1);
         let mut used = 0;
         for job in &mut active {
-            let share = RATE / COORDINATORS / counts[job.coordinator as usize];
-            grant(way, &mut budget, job, share, now);
+            let share = STORE_RATE / COORDINATORS / counts[job.coordinator as usize];
+            grant(sharing, &mut budget, job, share, now);
             if job.until > now {
                 used += job.rate;
                 job.left -= job.rate as f64 * TICK.as_secs_f64();
@@ -174,7 +177,7 @@
     values[((values.len() - 1) as f64 * part).round() as usize]
 }
 
-fn shares(moves: f64) {
+fn print_shares(moves: f64) {
     println!(
         "store of 1 GiB/s, {COORDINATORS} coordinators, 2 h, {:.0} rebalances/h; time to load in s",
         moves * 360.0
@@ -183,21 +186,21 @@
         "{:12} {:>9} {:>9} {:>9} {:>9} {:>11}",
         "way", "cold p50", "cold p99", "move p50", "move p99", "peak/rate"
     );
-    for way in [Way::Leased, Way::NoPriority, Way::FixedSplit] {
-        let mut tally = run(way, moves);
+    for sharing in [Sharing::Leased, Sharing::NoPriority, Sharing::FixedSplit] {
+        let mut tally = run(sharing, moves);
         println!(
             "{:12} {:9.1} {:9.1} {:9.1} {:9.1} {:11.3}",
-            format!("{way:?}"),
+            format!("{sharing:?}"),
             quantile(&mut tally.cold, 0.5),
             quantile(&mut tally.cold, 0.99),
             quantile(&mut tally.moves, 0.5),
             quantile(&mut tally.moves, 0.99),
-            tally.peak as f64 / RATE as f64,
+            tally.peak as f64 / STORE_RATE as f64,
         );
     }
 }
 
-fn peers(ranks: u16, slots: u16) {
+fn print_sources(ranks: u16, slots: u16) {
     let mut rng = ChaCha8Rng::seed_from_u64(SEED);
     let layout = Layout::uniform(60, 128, ranks, slots, 8);
     let mut draw = || -> Vec<f64> {
@@ -229,10 +232,10 @@
 }
 
 fn main() {
-    shares(0.25);
-    shares(0.6);
+    print_shares(0.25);
+    print_shares(0.6);
     println!();
     for (ranks, slots) in [(12, 12), (64, 3), (256, 2)] {
-        peers(ranks, slots);
+        print_sources(ranks, slots);
     }
 }
--- a/dev/bench/src/bin/expert_plan.rs
+++ b/dev/bench/src/bin/expert_plan.rs
@@ -1,7 +1,8 @@
 //! Expert placement: distance from the bound, plan time and cost of rebalancing.
 //!
-//! Three ways of placing run against the same popularity: a static map, greedy
-//! balanced packing with replication recomputed on a period, and the planner.
+//! Three placement methods run against the same popularity: a static map,
+//! greedy balanced packing with replication that is recomputed periodically,
+//! and the planner.
 
 use std::time::{Duration, Instant};
 
@@ -16,33 +17,34 @@
 /// Seed of all random draws.
 const SEED: u64 = 7_340_033;
 
-/// Timed runs of each plan.
+/// Timed runs per plan.
 const RUNS: usize = 9;
 
 /// Time between two reports of the ranks.
 const TICK: Duration = Duration::from_secs(10);
 
-/// Ticks that a scenario lasts: two hours.
+/// Length of a scenario in ticks: two hours.
 const TICKS: u64 = 720;
 
 /// Ticks between two packings of the greedy baseline.
-const GREEDY_PERIOD: u64 = 6;
+const GREEDY_PERIOD_TICKS: u64 = 6;
 
-/// Tokens routed in a layer during a tick.
+/// Tokens routed in each layer per tick.
 const TICK_TOKENS: f64 = 400_000.0;
 
-/// Layers in the scenarios.
+/// Number of layers in the scenarios.
 const SCENARIO_LAYERS: u16 = 16;
 
-/// Bytes that rebalancing may move in an hour.
-const HOURLY: u64 = 64 << 30;
+/// Bytes that rebalancing may move per hour.
+const MAX_HOURLY_BYTES: u64 = 64 << 30;
 
-/// Exponent of the popularity by rank of an expert.
-const ZIPF: f64 = 0.8;
+/// Exponent of the Zipf distribution of expert popularity.
+const ZIPF_EXPONENT: f64 = 0.8;
 
-/// Plan time that is aimed for, milliseconds.
-const PLAN_GOAL_MS: f64 = 50.0;
+/// Target for the median plan time, in milliseconds.
+const PLAN_TARGET_MS: f64 = 50.0;
 
+/// Change of popularity or speeds over a scenario.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Shift {
     Steady,
@@ -53,14 +55,15 @@
     Stall,
 }
 
-/// True popularity and speeds of one scenario.
-struct Truth {
+/// Actual popularity and speeds over one run.
+struct Scenario {
     shift: Shift,
     layout: Layout,
     base: Vec<f64>,
-    goal: Vec<f64>,
+    target: Vec<f64>,
 }
 
+/// Figures collected over one run.
 #[derive(Default)]
 struct Tally {
     imbalance: Vec<f64>,
@@ -77,20 +80,20 @@
         for i in (1..experts).rev() {
             order.swap(i, rng.random_range(0..=i));
         }
-        all.extend(order.iter().map(|r| ((r + 1) as f64).powf(-ZIPF)));
+        all.extend(order.iter().map(|r| ((r + 1) as f64).powf(-ZIPF_EXPONENT)));
     }
     all
 }
 
-impl Truth {
+impl Scenario {
     fn new(shift: Shift, layout: Layout, rng: &mut ChaCha8Rng) -> Self {
         let base = zipf(&layout, rng);
-        let goal = zipf(&layout, rng);
+        let target = zipf(&layout, rng);
         Self {
             shift,
             layout,
             base,
-            goal,
+            target,
         }
     }
 
@@ -101,18 +104,18 @@
             // A burst of 20 s every 5 minutes.
             Shift::Bursty if (10..12).contains(&(tick % 30)) => 0.8,
             Shift::Bursty => 0.0,
-            // Swaps back and forth each 4 minutes, about when a planner has followed.
+            // Alternates every 4 minutes, about when a planner has adapted to the last change.
             Shift::Adversarial => f64::from(u8::from((tick / 24) % 2 == 1)),
         };
-        let pairs = self.base.iter().zip(&self.goal);
-        pairs.map(|(b, g)| b * (1.0 - mix) + g * mix).collect()
+        let pairs = self.base.iter().zip(&self.target);
+        pairs.map(|(b, t)| b * (1.0 - mix) + t * mix).collect()
     }
 
     fn speeds(&self, tick: u64) -> Vec<f64> {
         let mut speeds = vec![1.0; self.layout.ranks.len()];
         match self.shift {
             Shift::Straggler if tick >= 120 => speeds[1] = 0.6,
-            // Two ticks at a tenth of the speed, every 10 minutes.
+            // Two ticks at a tenth of the speed every 10 minutes.
             Shift::Stall if tick % 60 < 2 && tick > 60 => speeds[1] = 0.1,
             _ => {}
         }
@@ -125,19 +128,19 @@
     }
 }
 
-/// Draws counts with the spread of sampling.
+/// Draws token counts with sampling noise.
 fn sample(demand: &Demand, rng: &mut ChaCha8Rng) -> Vec<u32> {
     let draw = |load: &f64| {
         let mean = load * TICK_TOKENS;
-        // Sum of uniform draws: close to a normal deviate.
+        // The sum of 12 uniform draws approximates a normal deviate.
         let normal: f64 = (0..12).map(|_| rng.random::<f64>()).sum::<f64>() - 6.0;
         (mean + normal * mean.sqrt()).max(0.0) as u32
     };
     demand.loads.iter().map(draw).collect()
 }
 
-fn record(tally: &mut Tally, truth: &Truth, demand: &Demand, map: &ExpertMap) {
-    let forecast = demand.forecast(&truth.layout, map);
+fn record(tally: &mut Tally, scenario: &Scenario, demand: &Demand, map: &ExpertMap) {
+    let forecast = demand.forecast(&scenario.layout, map);
     tally.imbalance.push(forecast.imbalance());
     tally.skew.push(forecast.skew());
 }
@@ -148,56 +151,62 @@
     *map = next;
 }
 
-fn run_static(truth: &Truth) -> Tally {
-    let map = place(&truth.layout, &truth.demand(0)).expect("layout fits");
+fn run_static(scenario: &Scenario) -> Tally {
+    let map = place(&scenario.layout, &scenario.demand(0)).expect("layout fits");
     let mut tally = Tally::default();
     for tick in 0..TICKS {
-        record(&mut tally, truth, &truth.demand(tick), &map);
+        record(&mut tally, scenario, &scenario.demand(tick), &map);
     }
     tally
 }
 
-fn run_greedy(truth: &Truth) -> Tally {
+fn run_greedy(scenario: &Scenario) -> Tally {
     let mut rng = ChaCha8Rng::seed_from_u64(SEED);
-    let mut map = pack_greedily(&truth.layout, &truth.demand(0)).expect("layout fits");
+    let mut map = pack_greedily(&scenario.layout, &scenario.demand(0)).expect("layout fits");
     let mut tally = Tally::default();
-    let mut counts = vec![0.0; truth.base.len()];
+    let mut counts = vec![0.0; scenario.base.len()];
     for tick in 0..TICKS {
-        let demand = truth.demand(tick);
-        record(&mut tally, truth, &demand, &map);
+        let demand = scenario.demand(tick);
+        record(&mut tally, scenario, &demand, &map);
         let drawn = sample(&demand, &mut rng);
         counts
             .iter_mut()
             .zip(drawn)
             .for_each(|(sum, c)| *sum += f64::from(c));
-        if tick % GREEDY_PERIOD == GREEDY_PERIOD - 1 {
-            let ranks = vec![1.0; truth.layout.ranks.len()];
-            let estimate = Demand::new(usize::from(truth.layout.experts), &counts, &ranks);
-            let next = pack_greedily(&truth.layout, &estimate).expect("layout fits");
-            switch(&mut tally, &truth.layout, &mut map, next);
+        if tick % GREEDY_PERIOD_TICKS == GREEDY_PERIOD_TICKS - 1 {
+            let ranks = vec![1.0; scenario.layout.ranks.len()];
+            let estimate = Demand::new(usize::from(scenario.layout.experts), &counts, &ranks);
+            let next = pack_greedily(&scenario.layout, &estimate).expect("layout fits");
+            switch(&mut tally, &scenario.layout, &mut map, next);
             counts.fill(0.0);
         }
     }
     tally
 }
 
-fn observe(planner: &mut Planner, truth: &Truth, tick: u64, map: &ExpertMap, rng: &mut ChaCha8Rng) {
-    let demand = truth.demand(tick);
+fn observe(
+    planner: &mut Planner,
+    scenario: &Scenario,
+    tick: u64,
+    map: &ExpertMap,
+    rng: &mut ChaCha8Rng,
+) {
+    let demand = scenario.demand(tick);
     let at = Time::ZERO + TICK * tick as u32;
     // One report in ten is lost.
     if !rng.random_bool(0.1) {
         planner.observe_tokens(&TokenCounts {
-            reporter: (tick % truth.layout.ranks.len() as u64) as u16,
+            reporter: (tick % scenario.layout.ranks.len() as u64) as u16,
             sequence: tick + 1,
             at,
             tokens: sample(&demand, rng),
         });
     }
-    let mut work = vec![0.0; truth.layout.ranks.len()];
-    let mut busy = vec![0.0; truth.layout.ranks.len()];
-    for layer in 0..usize::from(truth.layout.layers) {
+    let mut work = vec![0.0; scenario.layout.ranks.len()];
+    let mut busy = vec![0.0; scenario.layout.ranks.len()];
+    for layer in 0..usize::from(scenario.layout.layers) {
         for (rank, time) in demand
-            .rank_times(&truth.layout, map, layer)
+            .rank_times(&scenario.layout, map, layer)
             .iter()
             .enumerate()
         {
@@ -216,20 +225,23 @@
     }
 }
 
-fn run_planner(truth: &Truth, reasons: &mut std::collections::BTreeMap<String, u32>) -> Tally {
+fn run_planner(
+    scenario: &Scenario,
+    reasons: &mut std::collections::BTreeMap<String, u32>,
+) -> Tally {
     let mut rng = ChaCha8Rng::seed_from_u64(SEED);
-    let mut map = place(&truth.layout, &truth.demand(0)).expect("layout fits");
+    let mut map = place(&scenario.layout, &scenario.demand(0)).expect("layout fits");
     let policy = PlanPolicy::default();
-    let mut planner = Planner::new(truth.layout.clone(), policy).expect("layout fits");
+    let mut planner = Planner::new(scenario.layout.clone(), policy).expect("layout fits");
     let mut tally = Tally::default();
     let mut budget = Budget::default();
     let group = GroupName::from("group");
     for tick in 0..TICKS {
-        record(&mut tally, truth, &truth.demand(tick), &map);
-        observe(&mut planner, truth, tick, &map, &mut rng);
+        record(&mut tally, scenario, &scenario.demand(tick), &map);
+        observe(&mut planner, scenario, tick, &map, &mut rng);
         let now = Time::ZERO + TICK * tick as u32;
         let conditions = Conditions {
-            allowance: budget.allowance(&group, HOURLY, now),
+            allowance: budget.allowance(&group, MAX_HOURLY_BYTES, now),
             ..Conditions::default()
         };
         match planner.evaluate(now, &map, conditions) {
@@ -239,10 +251,10 @@
                     bytes: plan.bytes,
                 };
                 assert!(
-                    budget.spend(&group, HOURLY, &cost, now),
+                    budget.spend(&group, MAX_HOURLY_BYTES, &cost, now),
                     "within the allowance"
                 );
-                switch(&mut tally, &truth.layout, &mut map, plan.map);
+                switch(&mut tally, &scenario.layout, &mut map, plan.map);
             }
             Verdict::Decline { reason, .. } => *reasons.entry(reason.to_string()).or_default() += 1,
         }
@@ -264,9 +276,9 @@
     let weight = PlanPolicy::default().weight as f64 / f64::from(1 << 30);
     let hours = TICKS as f64 * TICK.as_secs_f64() / 3600.0;
     let bytes = tally.moved as f64 * weight;
-    let won = (mean(&base.skew) - mean(&tally.skew)) * 100.0;
-    let price = if won > 0.05 {
-        format!("{:.2}", bytes / won)
+    let gained = (mean(&base.skew) - mean(&tally.skew)) * 100.0;
+    let price = if gained > 0.05 {
+        format!("{:.2}", bytes / gained)
     } else {
         "-".into()
     };
@@ -283,7 +295,7 @@
     );
 }
 
-fn scenarios(ranks: u16, slots: u16) {
+fn print_scenarios(ranks: u16, slots: u16) {
     let layout = Layout::uniform(SCENARIO_LAYERS, 128, ranks, slots, 8);
     println!("\n{ranks} ranks, {slots} slots a rank, 128 experts, {SCENARIO_LAYERS} layers, 2 h");
     println!(
@@ -300,13 +312,13 @@
     ];
     for shift in shifts {
         let mut rng = ChaCha8Rng::seed_from_u64(SEED);
-        let truth = Truth::new(shift, layout.clone(), &mut rng);
+        let scenario = Scenario::new(shift, layout.clone(), &mut rng);
         let mut reasons = std::collections::BTreeMap::new();
-        let base = run_static(&truth);
-        let planned = run_planner(&truth, &mut reasons);
-        println!(" {shift:?}, looks declined: {reasons:?}");
+        let base = run_static(&scenario);
+        let planned = run_planner(&scenario, &mut reasons);
+        println!(" {shift:?}, evaluations declined: {reasons:?}");
         report("static", &base, &base);
-        report("greedy", &run_greedy(&truth), &base);
+        report("greedy", &run_greedy(&scenario), &base);
         report("planner", &planned, &base);
     }
 }
@@ -325,7 +337,7 @@
     (times, last)
 }
 
-fn line(
+fn print_row(
     name: &str,
     layout: &Layout,
     demand: &Demand,
@@ -340,17 +352,17 @@
         quantile(times, 0.0),
         median,
         quantile(times, 1.0),
-        if median < PLAN_GOAL_MS {
-            "in goal "
+        if median < PLAN_TARGET_MS {
+            "in target"
         } else {
-            "OVER    "
+            "OVER     "
         },
         forecast.imbalance(),
         (forecast.skew() - 1.0) * 100.0,
     );
 }
 
-fn plans(ranks: u16, slots: u16, straggler: bool) {
+fn print_plans(ranks: u16, slots: u16, straggler: bool) {
     let mut rng = ChaCha8Rng::seed_from_u64(SEED);
     let layout = Layout::uniform(60, 128, ranks, slots, 8);
     let (old, new) = (zipf(&layout, &mut rng), zipf(&layout, &mut rng));
@@ -369,13 +381,13 @@
     };
     println!("\n{ranks} ranks x 128 experts x 60 layers, {slots} slots a rank{note}");
     let (times, greedy) = timed(|| pack_greedily(&layout, &demand).expect("layout fits"));
-    line("greedy packing", &layout, &demand, &times, &greedy, 0);
+    print_row("greedy packing", &layout, &demand, &times, &greedy, 0);
     let (times, map) = timed(|| place(&layout, &demand).expect("layout fits"));
-    line("place from nothing", &layout, &demand, &times, &map, 0);
-    line("  kept after drift", &layout, &drifted, &[0.0], &map, 0);
+    print_row("place from scratch", &layout, &demand, &times, &map, 0);
+    print_row("  kept after drift", &layout, &drifted, &[0.0], &map, 0);
     let (times, packed) = timed(|| pack_greedily(&layout, &drifted).expect("layout fits"));
     let moved = packed.moved(&greedy, &layout);
-    line(
+    print_row(
         "  greedy after drift",
         &layout,
         &drifted,
@@ -390,8 +402,8 @@
     };
     let (times, next) = timed(|| improve_map(&layout, &drifted, &map, &limits));
     let moved = next.moved(&map, &layout);
-    line(
-        "  changed after drift",
+    print_row(
+        "  improved after drift",
         &layout,
         &drifted,
         &times,
@@ -418,9 +430,9 @@
         (12, 12, false),
         (12, 12, true),
     ] {
-        plans(ranks, slots, straggler);
+        print_plans(ranks, slots, straggler);
     }
     for (ranks, slots) in [(12, 12), (64, 3)] {
-        scenarios(ranks, slots);
+        print_scenarios(ranks, slots);
     }
 }
--- a/dev/bench/src/bin/expert_switch.rs
+++ b/dev/bench/src/bin/expert_switch.rs
@@ -1,9 +1,9 @@
 //! Longest stall of a switch of expert maps, under faults and virtual time.
 //!
-//! The switch with granted steps runs against a two-phase switch with a named
-//! step and against an arm and fire barrier. Each fault strikes each message of
-//! the switch in turn; the stall is the longest time between two steps that all
-//! ranks have finished, less the length of a step.
+//! The switch with granted steps runs against a two-phase switch with a
+//! proposed step and against a barrier that arms, then fires. Each fault is
+//! injected at each message of the switch in turn; the stall is the longest
+//! time between two steps that all ranks finished, less the length of a step.
 
 use std::time::Duration;
 
@@ -20,15 +20,15 @@
 
 use group::{Group, PROPOSAL, STEP};
 use network::{Fault, Network};
-use rival::{Rival, Way};
+use rival::{BaselineGroup, Protocol};
 
-/// Time after the proposal by which an undisturbed switch has ended.
-const SWITCH: Duration = Duration::from_millis(1_300);
+/// Time after the proposal by which a switch without faults has ended.
+const SWITCH_TIME: Duration = Duration::from_millis(1_300);
 
 /// Time after the proposal at which a run ends.
-const END: Duration = Duration::from_secs(6);
+const RUN_TIME: Duration = Duration::from_secs(6);
 
-/// Faults that all three ways know.
+/// Faults that apply to all three protocols.
 const FAULTS: [Fault; 7] = [
     Fault::Lose,
     Fault::Twice,
@@ -39,28 +39,29 @@
     Fault::KillLeader,
 ];
 
-/// Seeds of the runs with random faults.
+/// Number of runs with random faults, each with its own seed.
 const SEEDS: u64 = 40;
 
-/// Chance of a random fault at a message.
-const LOSS: f64 = 0.2;
+/// Probability of a random fault at a message.
+const FAULT_PROBABILITY: f64 = 0.2;
 
+/// Switch protocol under test.
 #[derive(Clone, Copy)]
-enum Contender {
+enum Candidate {
     Granted,
-    Rival(Way),
+    Baseline(Protocol),
 }
 
-/// Runs one switch; returns the longest stall and the messages sent by two times.
-fn run(contender: Contender, network: Network, heal: bool) -> (Duration, u64, u64) {
+/// Runs one switch; returns the longest stall and the messages sent before and by the end of it.
+fn run(candidate: Candidate, network: Network, heal: bool) -> (Duration, u64, u64) {
     let start = Time::ZERO + PROPOSAL - Duration::from_millis(10);
-    let times = [start, start + SWITCH, start + END];
+    let times = [start, start + SWITCH_TIME, start + RUN_TIME];
     let mut counts = Vec::new();
-    let longest = match contender {
-        Contender::Granted => {
+    let longest = match candidate {
+        Candidate::Granted => {
             let mut group = Group::new(network);
             group.run(start);
-            // The time that the group takes to form is not part of the switch.
+            // Forming the group is not part of the switch.
             group.longest_gap = Duration::ZERO;
             for time in times {
                 group.run(time);
@@ -72,39 +73,39 @@
             assert!(group.violations.is_empty(), "{:?}", group.violations);
             group.longest_gap
         }
-        Contender::Rival(way) => {
-            let mut rival = Rival::new(way, network);
-            rival.run(start);
-            rival.longest = Duration::ZERO;
+        Candidate::Baseline(protocol) => {
+            let mut group = BaselineGroup::new(protocol, network);
+            group.run(start);
+            group.longest_gap = Duration::ZERO;
             for time in times {
-                rival.run(time);
-                counts.push(rival.count());
+                group.run(time);
+                counts.push(group.count());
                 if heal && counts.len() == 2 {
-                    rival.heal();
+                    group.heal();
                 }
             }
-            rival.longest
+            group.longest_gap
         }
     };
     (longest.saturating_sub(STEP), counts[0], counts[1])
 }
 
-/// Stalls with one fault at each message of the switch.
-fn each_message(contender: Contender, fault: Fault) -> Vec<Duration> {
-    let (_, first, last) = run(contender, Network::with_faults([]), false);
+/// Stalls of one run per message of the switch, each with the fault at that message.
+fn each_message(candidate: Candidate, fault: Fault) -> Vec<Duration> {
+    let (_, first, last) = run(candidate, Network::with_faults([]), false);
     let messages = first + 1..=last;
     messages
-        .map(|message| run(contender, Network::with_faults([(message, fault)]), false).0)
+        .map(|message| run(candidate, Network::with_faults([(message, fault)]), false).0)
         .collect()
 }
 
-fn random(contender: Contender) -> Vec<Duration> {
+fn with_random_faults(candidate: Candidate) -> Vec<Duration> {
     (0..SEEDS)
-        .map(|seed| run(contender, Network::with_loss(LOSS, seed), true).0)
+        .map(|seed| run(candidate, Network::with_loss(FAULT_PROBABILITY, seed), true).0)
         .collect()
 }
 
-fn cell(stalls: &mut [Duration]) -> String {
+fn format_stalls(stalls: &mut [Duration]) -> String {
     stalls.sort();
     let median = stalls[stalls.len() / 2].as_millis();
     let longest = stalls[stalls.len() - 1].as_millis();
@@ -112,10 +113,10 @@
 }
 
 fn main() {
-    let contenders = [
-        Contender::Granted,
-        Contender::Rival(Way::TwoPhase),
-        Contender::Rival(Way::Barrier),
+    let candidates = [
+        Candidate::Granted,
+        Candidate::Baseline(Protocol::TwoPhase),
+        Candidate::Baseline(Protocol::Barrier),
     ];
     println!("stall in ms: median, longest (runs); 4 ranks, {STEP:?} steps");
     println!(
@@ -123,21 +124,24 @@
         "fault", "granted steps", "two-phase", "barrier"
     );
     let mut line = format!("{:14}", "none");
-    for contender in contenders {
-        let stall = run(contender, Network::with_faults([]), false).0;
-        line += &format!(" {:>18}", cell(&mut [stall]));
+    for candidate in candidates {
+        let stall = run(candidate, Network::with_faults([]), false).0;
+        line += &format!(" {:>18}", format_stalls(&mut [stall]));
     }
     println!("{line}");
     for fault in FAULTS {
         let mut line = format!("{:14}", format!("{fault:?}"));
-        for contender in contenders {
-            line += &format!(" {:>18}", cell(&mut each_message(contender, fault)));
+        for candidate in candidates {
+            line += &format!(
+                " {:>18}",
+                format_stalls(&mut each_message(candidate, fault))
+            );
         }
         println!("{line}");
     }
     let mut line = format!("{:14}", "random 20 %");
-    for contender in contenders {
-        line += &format!(" {:>18}", cell(&mut random(contender)));
+    for candidate in candidates {
+        line += &format!(" {:>18}", format_stalls(&mut with_random_faults(candidate)));
     }
     println!("{line}");
 }
--- a/dev/bench/src/bin/outcome_cost.rs
+++ b/dev/bench/src/bin/outcome_cost.rs
@@ -2,7 +2,8 @@
 //!
 //! Prints the bytes that a claim and its settlement add to the log, the CPU
 //! time of both at three sizes of the journal, the size of a snapshot at those
-//! sizes, and what three homes of the record write at the rate of the users.
+//! sizes, and the disk writes for three locations of the record at the expected
+//! request rate.
 
 use std::hint::black_box;
 use std::sync::Arc;
@@ -17,28 +18,28 @@
     LedgerLimits, Outcome, Place, Reply, Ticket,
 };
 
-/// Runs of each timing.
+/// Timed runs per measurement.
 const RUNS: usize = 7;
-/// Requests timed in one run.
+/// Requests per timed run.
 const BATCH: usize = 5_000;
-/// Keys in the journal before a timing.
+/// Numbers of keys in the journal before a measurement.
 const SIZES: [usize; 3] = [1_000, 10_000, 100_000];
-/// Bodies of answers, bytes.
-const BODIES: [usize; 3] = [300, 4_096, 65_536];
-/// Body of an order's receipt, bytes.
-const RECEIPT: usize = 300;
+/// Sizes of answer bodies, in bytes.
+const BODY_BYTES: [usize; 3] = [300, 4_096, 65_536];
+/// Size of the body of an order receipt, in bytes.
+const RECEIPT_BYTES: usize = 300;
 /// Requests per second in the whole deployment.
 const RATE: f64 = 4_300.0;
 /// Control replicas that write each entry of the log.
 const REPLICAS: f64 = 3.0;
-/// Disks that write each entry of a journal sharded over the disk instances.
+/// Disks that write each entry if the journal is sharded over the instances with disks.
 const SHARD_COPIES: f64 = 2.0;
-/// Workspaces that share the keys.
+/// Number of workspaces among which the keys are distributed.
 const WORKSPACES: usize = 10;
-/// Shares of requests that may not be repeated.
+/// Ratios of requests that are not idempotent.
 const SHARES: [f64; 4] = [0.01, 0.05, 0.2, 1.0];
 
-/// Least, median and most of several samples.
+/// Minimum, median and maximum of several samples.
 struct Spread {
     least: f64,
     median: f64,
@@ -129,15 +130,15 @@
     postcard::to_stdvec(command).expect("commands encode").len()
 }
 
-/// Bytes of a claim and of its settlement with `recorded`.
+/// Log bytes of a claim and of its settlement with the outcome `recorded`.
 fn log_bytes(generated: bool, recorded: Outcome) -> (usize, usize) {
     let settled = settle(1, ClaimId(1_000_000), &Arc::new(recorded));
     (encoded(&claim(1, generated)), encoded(&settled))
 }
 
 /// Claims and settles requests `from..to`; returns the time spent in the journal.
-fn drive(journal: &mut Journal, from: usize, to: usize, generated: bool) -> Duration {
-    let whole = outcome(RECEIPT);
+fn run_requests(journal: &mut Journal, from: usize, to: usize, generated: bool) -> Duration {
+    let whole = outcome(RECEIPT_BYTES);
     let recorded = if generated { whole.omitted() } else { whole };
     let recorded = Arc::new(recorded);
     let mut spent = Duration::ZERO;
@@ -158,7 +159,7 @@
     spent
 }
 
-/// Cost of one timing, ns.
+/// Overhead of one time measurement, in nanoseconds.
 fn clock_cost() -> f64 {
     let mut spent = Duration::ZERO;
     for _ in 0..BATCH {
@@ -173,50 +174,52 @@
 }
 
 fn print_bytes() {
-    println!("log bytes of one request (postcard, without the log's own framing)");
+    println!("log bytes per request (postcard, without framing of the log)");
     println!(
         "{:>10} {:>10} {:>10} {:>10}",
         "body", "claim", "settle", "both"
     );
-    for body in BODIES {
+    for body in BODY_BYTES {
         let (first, second) = log_bytes(false, outcome(body));
         let both = first + second;
         println!("{body:>10} {first:>10} {second:>10} {both:>10}");
     }
-    let (first, second) = log_bytes(true, outcome(RECEIPT).omitted());
+    let (first, second) = log_bytes(true, outcome(RECEIPT_BYTES).omitted());
     let both = first + second;
     println!("{:>10} {first:>10} {second:>10} {both:>10}", "no key");
 }
 
 fn time_journal(size: usize, generated: bool, clock: f64) -> Spread {
     let mut base = Journal::default();
-    drive(&mut base, 0, size, generated);
+    run_requests(&mut base, 0, size, generated);
     Spread::of(|_| {
         let mut journal = base.clone();
-        let spent = drive(&mut journal, size, size + BATCH, generated);
+        let spent = run_requests(&mut journal, size, size + BATCH, generated);
         nanos(spent, BATCH) - 2.0 * clock
     })
 }
 
 fn print_cpu(clock: f64) {
-    println!("\nCPU of claim + settle in the journal, ns a request, min/median/max of {RUNS} runs");
+    println!(
+        "\nCPU of claim + settle in the journal, ns per request, min/median/max of {RUNS} runs"
+    );
     println!("{:>10} {:>22} {:>22}", "keys", "with key", "without key");
     for size in SIZES {
         let keyed = time_journal(size, false, clock).text(0);
-        let bare = time_journal(size, true, clock).text(0);
-        println!("{size:>10} {keyed:>22} {bare:>22}");
+        let unkeyed = time_journal(size, true, clock).text(0);
+        println!("{size:>10} {keyed:>22} {unkeyed:>22}");
     }
 }
 
 fn print_snapshots() {
-    println!("\nsnapshot of the journal (postcard), receipts of {RECEIPT} bytes");
+    println!("\nsnapshot of the journal (postcard), receipts of {RECEIPT_BYTES} bytes");
     println!(
         "{:>10} {:>12} {:>10} {:>24}",
         "keys", "bytes", "per key", "encode, ms min/med/max"
     );
     for size in SIZES {
         let mut journal = Journal::default();
-        drive(&mut journal, 0, size, false);
+        run_requests(&mut journal, 0, size, false);
         let encode = || postcard::to_stdvec(&journal).expect("a journal encodes");
         let times = Spread::of(|_| {
             let start = Instant::now();
@@ -230,7 +233,7 @@
 }
 
 fn time_ledger(clock: f64) -> f64 {
-    let (place, outcome) = (place(), Arc::new(outcome(RECEIPT)));
+    let (place, outcome) = (place(), Arc::new(outcome(RECEIPT_BYTES)));
     let limits = LedgerLimits::default();
     let requests = 2 * limits.closed;
     let mut ledger = AgentLedger::open(place.epoch, place.incarnation, limits);
@@ -248,14 +251,14 @@
 
 fn print_ledger(clock: f64) {
     let times = Spread::of(|_| time_ledger(clock));
-    println!("\nagent's ledger, begin + finish, ns a request, min/median/max of {RUNS} runs");
+    println!("\nagent's ledger, begin + finish, ns per request, min/median/max of {RUNS} runs");
     println!("{}", times.text(0));
 }
 
-fn print_homes() {
-    let (first, second) = log_bytes(false, outcome(RECEIPT));
+fn print_write_rates() {
+    let (first, second) = log_bytes(false, outcome(RECEIPT_BYTES));
     let both = (first + second) as f64 / 1024.0;
-    println!("\nwritten to all disks together, KiB/s, by home of the record");
+    println!("\nwrites to all disks together, KiB/s, by location of the record");
     println!(
         "{:>8} {:>10} {:>12} {:>14} {:>12}",
         "share", "requests/s", "quorum log", "shard + copy", "agent only"
@@ -278,5 +281,5 @@
     print_cpu(clock);
     print_snapshots();
     print_ledger(clock);
-    print_homes();
+    print_write_rates();
 }
--- a/dev/bench/src/bin/overload.rs
+++ b/dev/bench/src/bin/overload.rs
@@ -1,4 +1,4 @@
-//! Goodput while the load rises to three times what the engines can answer.
+//! Goodput under load of up to three times the capacity of the engines.
 //!
 //! `overload [RUNS]` prints goodput at capacity and at multiples of it, with
 //! the ratio to goodput at capacity in the same run.
@@ -15,24 +15,31 @@
 const CAPACITY: u32 = 16;
 const WARM_UP: Duration = Duration::from_secs(15);
 const LENGTH: Duration = Duration::from_secs(45);
-/// Requests a second that full engines answer, found by the first row.
+/// Offered loads, as multiples of the capacity measured at the start.
 const MULTIPLES: [f64; 6] = [0.5, 0.9, 1.0, 1.5, 2.0, 3.0];
-/// Offered load at which the engines are full.
-const FULL: f64 = 600.0;
+/// Offered load that saturates the engines, in requests per second.
+///
+/// The goodput at this load is the capacity.
+const SATURATING_RATE: f64 = 600.0;
 
 fn main() {
     let runs: u64 = std::env::args()
         .nth(1)
         .and_then(|a| a.parse().ok())
         .unwrap_or(5);
-    let capacity = median(&(0..runs).map(|s| run(FULL, s)).collect::<Vec<_>>()).goodput;
+    let capacity = median(
+        &(0..runs)
+            .map(|s| run(SATURATING_RATE, s))
+            .collect::<Vec<_>>(),
+    )
+    .goodput;
     println!("{ENTRIES} entries, {ENGINES} engines of {CAPACITY}, median of {runs} runs");
-    println!("capacity: {capacity:.1} answers a second when far more is offered");
-    let at: Vec<Vec<Summary>> = MULTIPLES
+    println!("capacity: {capacity:.1} answers per second at saturating load");
+    let summaries: Vec<Vec<Summary>> = MULTIPLES
         .iter()
         .map(|m| (0..runs).map(|s| run(m * capacity, s)).collect())
         .collect();
-    let full = &at[2];
+    let at_capacity = &summaries[2];
     println!(
         "{:>9}{:>9}{:>26}{:>23}{:>23}{:>9}{:>9}",
         "multiple",
@@ -43,15 +50,15 @@
         "refused",
         "bounced",
     );
-    for (multiple, runs) in MULTIPLES.iter().zip(&at) {
+    for (multiple, runs) in MULTIPLES.iter().zip(&summaries) {
         let mut ratios: Vec<f64> = runs
             .iter()
-            .zip(full)
-            .map(|(r, f)| r.goodput / f.goodput)
+            .zip(at_capacity)
+            .map(|(r, c)| r.goodput / c.goodput)
             .collect();
         ratios.sort_by(f64::total_cmp);
         let s = median(runs);
-        let three = |v: &[f64; 3]| format!("{:.0}/{:.0}/{:.0}", v[0], v[1], v[2]);
+        let format_values = |v: &[f64; 3]| format!("{:.0}/{:.0}/{:.0}", v[0], v[1], v[2]);
         let ratio = format!(
             "{:.3}/{:.3}/{:.3}",
             ratios[0],
@@ -61,8 +68,8 @@
         println!(
             "{multiple:>9}{:>9.1}{ratio:>26}{:>23}{:>23}{:>9.4}{:>9.3}",
             s.goodput,
-            three(&s.first),
-            three(&s.total),
+            format_values(&s.first),
+            format_values(&s.total),
             s.refused,
             s.gate_refusals,
         );
--- a/dev/bench/src/bin/proxy_cost.rs
+++ b/dev/bench/src/bin/proxy_cost.rs
@@ -1,4 +1,4 @@
-//! What proxying costs: the same load straight to an engine and through entry and agent.
+//! Cost of proxying: the same load sent directly to an engine and through entry and agent.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,8 +9,10 @@
 use pimentotide_standin::Engine;
 
 const ROUNDS: usize = 5;
+/// Requests per second.
 const RATE: u32 = 400;
 const LENGTH: Duration = Duration::from_secs(3);
+/// Tokens per answer.
 const TOKENS: u32 = 16;
 const PATH: &str = "/v1/completions";
 
@@ -29,13 +31,13 @@
         );
         let mut rows = Vec::new();
         for _ in 0..ROUNDS {
-            let straight = offer(&load(engine.address(), stream)).await;
-            let through = offer(&load(entry.address(), stream)).await;
-            print_row("direct", &straight);
-            print_row("proxied", &through);
-            rows.push((straight, through));
+            let direct = offer(&load(engine.address(), stream)).await;
+            let proxied = offer(&load(entry.address(), stream)).await;
+            print_row("direct", &direct);
+            print_row("proxied", &proxied);
+            rows.push((direct, proxied));
         }
-        print_added(&rows);
+        print_added_latency(&rows);
     }
     throughput(&engine, &entry).await;
     entry.stop().await;
@@ -43,7 +45,7 @@
     engine.stop(false).await;
 }
 
-/// Offers more than either path can carry and compares what comes through.
+/// Compares the throughput of both paths under more load than either sustains.
 async fn throughput(engine: &Engine, entry: &Entry) {
     let mut ratios = Vec::new();
     for _ in 0..ROUNDS {
@@ -52,19 +54,19 @@
             length: Duration::from_secs(1),
             ..load(target, false)
         };
-        let straight = offer(&heavy(engine.address())).await;
-        let through = offer(&heavy(entry.address())).await;
+        let direct = offer(&heavy(engine.address())).await;
+        let proxied = offer(&heavy(entry.address())).await;
         let rate = |o: &Outcome| o.answered as f64 / o.wall.as_secs_f64();
         println!(
             "throughput: direct {:.0}/s, proxied {:.0}/s",
-            rate(&straight),
-            rate(&through)
+            rate(&direct),
+            rate(&proxied)
         );
-        ratios.push(rate(&through) / rate(&straight));
+        ratios.push(rate(&proxied) / rate(&direct));
     }
     println!(
         "throughput ratio proxied/direct min/median/max: {}",
-        spread(ratios)
+        min_median_max(ratios)
     );
 }
 
@@ -94,7 +96,7 @@
     );
 }
 
-fn print_added(rows: &[(Outcome, Outcome)]) {
+fn print_added_latency(rows: &[(Outcome, Outcome)]) {
     for quantile in [0.5, 0.99] {
         let added = |(a, b): &(Outcome, Outcome)| {
             b.first_byte.value_at_quantile(quantile) as f64
@@ -104,12 +106,12 @@
         println!(
             "added to first byte at p{:.0}, us, min/median/max: {}",
             quantile * 100.0,
-            spread(all)
+            min_median_max(all)
         );
     }
 }
 
-fn spread(mut values: Vec<f64>) -> String {
+fn min_median_max(mut values: Vec<f64>) -> String {
     values.sort_by(f64::total_cmp);
     let last = values.len() - 1;
     format!(
--- a/dev/bench/src/bin/replica_latency.rs
+++ b/dev/bench/src/bin/replica_latency.rs
@@ -1,9 +1,9 @@
 //! Time from a proposal to its answer, for one and three replicas on loopback.
 //!
-//! Each run founds a log in fresh folders and proposes commands of 200 bytes one
-//! after the other, then many at once. The baseline of a run is the time that
-//! the same disk takes for one append with a sync. Three replicas share one
-//! disk here, so their syncs wait for each other.
+//! Each run creates a log in new folders and proposes commands of 200 bytes one
+//! after another, then many concurrently. The baseline of a run is the time of
+//! one append with a sync on the same disk. Three replicas share one disk here,
+//! so their syncs wait for each other.
 
 use std::fs::OpenOptions;
 use std::io::Write;
@@ -18,16 +18,16 @@
 use pimentotide_model::{Failure, InstanceName, Time};
 
 const RUNS: usize = 5;
-/// Commands proposed one after the other.
+/// Commands proposed one after another.
 const SERIAL: usize = 300;
-/// Commands proposed at once.
+/// Commands proposed concurrently.
 const PARALLEL: usize = 2_000;
 const COMMAND_BYTES: usize = 200;
-const PAUSE: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 type Error = Box<dyn std::error::Error>;
 
-/// Counts commands.
+/// State machine that counts commands.
 #[derive(Default)]
 struct Counter(u64);
 
@@ -50,12 +50,12 @@
     }
 }
 
-struct Running {
+struct RunningReplica {
     handle: ReplicaHandle<Counter>,
     server: PeerServer,
 }
 
-/// Figures of one run.
+/// Figures of one run; the rate is in commands per second.
 struct Run {
     sync: Duration,
     median: Duration,
@@ -81,7 +81,7 @@
     founders: &[(InstanceName, SocketAddr)],
     number: usize,
     folder: &Path,
-) -> Result<Running, Error> {
+) -> Result<RunningReplica, Error> {
     let token = Token::open("secret-of-the-bench")?;
     let (name, address) = founders[number].clone();
     let folder = folder.join(name.as_str());
@@ -89,27 +89,27 @@
         .with_founders(founders.iter().cloned());
     let handle = Replica::spawn(options, Counter::default()).await?;
     let server = PeerServer::bind(address, token, [module(handle.clone())?]).await?;
-    Ok(Running { handle, server })
+    Ok(RunningReplica { handle, server })
 }
 
-/// Waits until all replicas vote and returns the number of the leader.
-async fn settled(running: &[Running]) -> Result<usize, Error> {
+/// Waits until all replicas are voters; returns the number of the leader.
+async fn wait_for_leader(running: &[RunningReplica]) -> Result<usize, Error> {
     loop {
         for (number, replica) in running.iter().enumerate() {
             let log = replica.handle.status().await?.log;
-            let whole = log.config.voters.len() == running.len() && log.config_committed;
-            if log.role == RoleKind::Leader && whole {
+            let all_vote = log.config.voters.len() == running.len() && log.config_committed;
+            if log.role == RoleKind::Leader && all_vote {
                 return Ok(number);
             }
         }
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
 async fn run(replicas: usize) -> Result<Run, Error> {
-    let place = std::env::temp_dir().join(format!("replica-latency-{}", std::process::id()));
-    std::fs::create_dir_all(&place)?;
-    let sync = sync_time(&place)?;
+    let folder = std::env::temp_dir().join(format!("replica-latency-{}", std::process::id()));
+    std::fs::create_dir_all(&folder)?;
+    let sync = sync_time(&folder)?;
     let sockets = (0..replicas)
         .map(|_| TcpListener::bind("127.0.0.1:0"))
         .collect::<Result<Vec<_>, _>>()?;
@@ -121,9 +121,9 @@
     drop(sockets);
     let mut running = Vec::new();
     for number in 0..replicas {
-        running.push(start(&founders, number, &place).await?);
+        running.push(start(&founders, number, &folder).await?);
     }
-    let leader = settled(&running).await?;
+    let leader = wait_for_leader(&running).await?;
     let handle = running[leader].handle.clone();
     let mut times = Vec::with_capacity(SERIAL);
     for _ in 0..SERIAL {
@@ -141,7 +141,7 @@
         replica.handle.stop().await;
         replica.server.stop().await;
     }
-    std::fs::remove_dir_all(&place)?;
+    std::fs::remove_dir_all(&folder)?;
     Ok(Run {
         sync,
         median: times[SERIAL / 2],
@@ -150,8 +150,8 @@
     })
 }
 
-/// Least, middle and greatest of some values.
-fn spread<F>(runs: &[Run], value: F) -> String
+/// Formats minimum, median and maximum of a value over the runs.
+fn min_median_max<F>(runs: &[Run], value: F) -> String
 where
     F: Fn(&Run) -> f64,
 {
@@ -175,7 +175,10 @@
         }
         let micros = |d: Duration| d.as_secs_f64() * 1e6;
         let row = |name: &str, value: &dyn Fn(&Run) -> f64| {
-            println!("{replicas} replicas, {name:20} {}", spread(&runs, value));
+            println!(
+                "{replicas} replicas, {name:20} {}",
+                min_median_max(&runs, value)
+            );
         };
         row("sync, us", &|r| micros(r.sync));
         row("median, us", &|r| micros(r.median));
--- a/dev/bench/src/bin/zone_return.rs
+++ b/dev/bench/src/bin/zone_return.rs
@@ -1,6 +1,6 @@
-//! A zone leaves and returns cold: load, allowance and latency by second.
+//! Load, allowance and latency by second while a zone is taken out and returns cold.
 //!
-//! `zone_return [SEED] [RATE]` takes the first zone out at 40 s and back at 60 s.
+//! `zone_return [SEED] [RATE]` takes the first zone out at 40 s and in again at 60 s.
 
 use std::time::Duration;
 
@@ -11,11 +11,12 @@
 
 const ENTRIES: usize = 9;
 const CAPACITY: u32 = 16;
+/// Default load, in requests per second.
 const RATE: f64 = 90.0;
-const OUT: Time = Time::from_millis(40_000);
-const BACK: Time = Time::from_millis(60_000);
+const ZONE_OUT_AT: Time = Time::from_millis(40_000);
+const ZONE_IN_AT: Time = Time::from_millis(60_000);
 const END: Time = Time::from_millis(100_000);
-/// Windows whose latency is compared with the steady one.
+/// Windows by name, start and end in milliseconds; the first is the reference for latency.
 const WINDOWS: [(&str, u64, u64); 5] = [
     ("steady", 20_000, 40_000),
     ("leaving", 40_000, 43_000),
@@ -69,7 +70,10 @@
         lag: Duration::from_millis(250),
         spread: Spread::Near,
         choices: 6,
-        orders: vec![order(OUT, AdminState::Out), order(BACK, AdminState::In)],
+        orders: vec![
+            order(ZONE_OUT_AT, AdminState::Out),
+            order(ZONE_IN_AT, AdminState::In),
+        ],
         seed,
     };
     World::new(settings, Workload::draw(&load, ENTRIES, seed))
@@ -77,11 +81,11 @@
 
 fn print_second(world: &World, second: u64) {
     let running = world.samples.last().map(|(_, r)| *r).unwrap_or_default();
-    let within = |a: &&RequestResult| {
+    let ended_in_second = |a: &&RequestResult| {
         let end = a.arrival + a.total;
         end.as_millis() / 1_000 == second - 1
     };
-    let ended: Vec<&RequestResult> = world.results.iter().filter(within).collect();
+    let ended: Vec<&RequestResult> = world.results.iter().filter(ended_in_second).collect();
     let refused = ended
         .iter()
         .filter(|a| a.outcome == Outcome::Refused)
@@ -96,7 +100,10 @@
 
 fn print_windows(world: &World) {
     println!("running at the end (gates, engines): {:?}", world.running());
-    println!("engines given more than they bore: {}", world.excess());
+    println!(
+        "most requests beyond the warm capacity of an engine: {}",
+        world.excess()
+    );
     let steady = summarize(
         &world.results,
         Time::from_millis(WINDOWS[0].1),
--- a/dev/bench/src/fleet/agent.rs
+++ b/dev/bench/src/fleet/agent.rs
@@ -1,11 +1,11 @@
-//! What happens at the agents and engines of the model deployment.
+//! Events of the agents and engines in the simulated deployment.
 
 use std::time::Duration;
 
 use pimentotide_model::Incarnation;
 use pimentotide_routing::{
     Admission, CacheAction, CacheChange, CacheEvent, CacheSnapshot, Completed, CreditId, Grant,
-    Outcome as Ended,
+    Outcome as GateOutcome,
 };
 use rand::RngExt;
 
@@ -13,17 +13,17 @@
 use super::engine::Milestone;
 use super::event::Event;
 use super::setup::{FAR_DELAY, delay, instance, upstream};
-use super::world::{REPORT_EVERY, World};
+use super::world::{REPORT_INTERVAL, World};
 
-/// Delay of cache events.
-const CACHE_DELAY: Duration = Duration::from_millis(500);
-/// Part of the cache events that is lost.
-const CACHE_LOSS: f64 = 0.02;
+/// Time from a cache change until entries receive its event.
+const CACHE_EVENT_DELAY: Duration = Duration::from_millis(500);
+/// Ratio of cache events that are lost.
+const CACHE_LOSS_RATIO: f64 = 0.02;
 
 impl World {
     pub(super) fn deliver(&mut self, engine: usize, request: usize, credit: Option<CreditId>) {
         let offered = &self.workload.requests[request];
-        let ask = Admission {
+        let admission = Admission {
             entry: instance(offered.entry),
             request: offered.meta.id,
             service: offered.meta.service.clone(),
@@ -34,7 +34,7 @@
             credit,
         };
         let node = &mut self.nodes[engine];
-        match node.gate.admit(&ask, self.now) {
+        match node.gate.admit(&admission, self.now) {
             Ok(permit) => {
                 self.flights[request].permit = Some(permit);
                 self.flights[request].admitted = self.now;
@@ -55,10 +55,10 @@
             node.engine
                 .start(request, &offered.meta.prefix, offered.tokens, self.now);
         for block in &stored {
-            node.holds.insert(*block, ());
+            node.cached_blocks.insert(*block, ());
         }
         for block in &evicted {
-            node.holds.remove(block);
+            node.cached_blocks.remove(block);
         }
         self.publish(engine, CacheChange::Stored(stored));
         if !evicted.is_empty() {
@@ -75,9 +75,9 @@
             sequence: node.sequence,
             change,
         };
-        let lost = self.rng.random::<f64>() < CACHE_LOSS;
+        let lost = self.rng.random::<f64>() < CACHE_LOSS_RATIO;
         if !lost && self.settings.policy == Policy::Placer {
-            self.after(CACHE_DELAY, Event::Cache { engine, event });
+            self.after(CACHE_EVENT_DELAY, Event::Cache { engine, event });
         }
     }
 
@@ -100,7 +100,7 @@
         let snapshot = CacheSnapshot {
             incarnation: Incarnation(1),
             sequence: node.sequence,
-            blocks: node.holds.keys().copied().collect(),
+            blocks: node.cached_blocks.keys().copied().collect(),
         };
         let placer = &mut self.entries[entry].chooser.placer;
         placer.observe_snapshot(&upstream(engine), &snapshot, self.now);
@@ -141,7 +141,7 @@
         let flight = &mut self.flights[request];
         let gaps = tokens.saturating_sub(1).max(1);
         let done = Completed {
-            outcome: Ended::Good,
+            outcome: GateOutcome::Good,
             first_token: Some(flight.started.since(flight.admitted)),
             token_gap: Some(self.now.since(flight.started) / gaps),
         };
@@ -172,17 +172,17 @@
         let node = &mut self.nodes[engine];
         let grants = node.gate.tick(self.now);
         let report = node.gate.report();
-        let taken = self.now;
+        let taken_at = self.now;
         self.send_grants(engine, grants);
         self.after(
             self.settings.lag,
             Event::Reported {
                 engine,
                 report,
-                taken,
+                taken_at,
             },
         );
-        self.after(REPORT_EVERY, Event::Report { engine });
+        self.after(REPORT_INTERVAL, Event::Report { engine });
         if engine == 0 {
             let running = self.by_zone(|n| n.gate.running());
             self.samples.push((self.now, running));
--- a/dev/bench/src/fleet/chooser.rs
+++ b/dev/bench/src/fleet/chooser.rs
@@ -1,4 +1,4 @@
-//! Policies compared: three simple ones and the placer.
+//! Upstream selection in an entry: simple baseline policies and the placer.
 
 use derive_more::Display;
 use pimentotide_model::{LoadReport, RequestMeta, Time, UpstreamName};
@@ -8,42 +8,42 @@
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 
-/// How an entry chooses.
+/// Policy by which an entry selects an engine.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum Policy {
     /// Each engine in turn.
     #[display("round robin")]
     RoundRobin,
-    /// Least load by the last report.
+    /// Least loaded by the last reports.
     #[display("least reported")]
     LeastReported,
-    /// Better of two draws by the last report.
+    /// Less loaded of two random engines, by the last reports.
     #[display("two, reported")]
     TwoReported,
-    /// Better of two draws by own requests in flight.
+    /// Less loaded of two random engines, by this entry's requests in flight.
     #[display("two, own")]
     TwoOwn,
-    /// The placer of the product.
+    /// Production placer.
     #[display("placer")]
     Placer,
 }
 
-/// Where a request goes.
+/// Destination of a request.
 pub(super) enum Choice {
-    /// To an engine, with the booking of the placer.
+    /// An engine, with the ticket of the placer if it chose.
     Engine(usize, Option<Ticket>),
-    /// Into the queue.
+    /// The queue of the entry.
     Queue,
 }
 
-/// Choice in one entry.
+/// Policy state of one entry.
 #[derive(Debug)]
 pub(super) struct Chooser {
     policy: Policy,
     pub(super) placer: Placer,
     names: Vec<UpstreamName>,
     reports: Vec<LoadReport>,
-    own: Vec<u32>,
+    in_flight: Vec<u32>,
     out: Vec<bool>,
     turn: usize,
     rng: ChaCha8Rng,
@@ -63,7 +63,7 @@
             placer: Placer::open(settings),
             names,
             reports: vec![LoadReport::default(); count],
-            own: vec![0; count],
+            in_flight: vec![0; count],
             out: vec![false; count],
             turn,
             rng,
@@ -74,10 +74,10 @@
         self.out[engine] = out;
     }
 
-    pub(super) fn report(&mut self, engine: usize, report: &LoadReport, taken: Time) {
+    pub(super) fn report(&mut self, engine: usize, report: &LoadReport, taken_at: Time) {
         self.reports[engine] = *report;
         self.placer
-            .observe_report(&self.names[engine], report, taken);
+            .observe_report(&self.names[engine], report, taken_at);
     }
 
     pub(super) fn choose(&mut self, meta: &RequestMeta, tried: &[usize], now: Time) -> Choice {
@@ -92,21 +92,21 @@
         }
         let engine = match self.policy {
             Policy::RoundRobin => self.next_turn(&open),
-            Policy::LeastReported => self.least(&open),
+            Policy::LeastReported => self.least_loaded(&open),
             Policy::TwoReported => {
-                let two = self.draw_two(&open);
-                self.least(&two)
+                let pair = self.draw_two(&open);
+                self.least_loaded(&pair)
             }
             Policy::TwoOwn | Policy::Placer => {
-                let two = self.draw_two(&open);
-                if self.own[two[1]] < self.own[two[0]] {
-                    two[1]
+                let pair = self.draw_two(&open);
+                if self.in_flight[pair[1]] < self.in_flight[pair[0]] {
+                    pair[1]
                 } else {
-                    two[0]
+                    pair[0]
                 }
             }
         };
-        self.own[engine] += 1;
+        self.in_flight[engine] += 1;
         Choice::Engine(engine, None)
     }
 
@@ -118,7 +118,7 @@
         now: Time,
     ) -> Option<Choice> {
         if self.policy != Policy::Placer {
-            self.own[engine] += 1;
+            self.in_flight[engine] += 1;
             return Some(Choice::Engine(engine, None));
         }
         let decision = self.placer.redeem(meta, &self.names[engine], credit, now)?;
@@ -135,7 +135,7 @@
     ) {
         match ticket {
             Some(ticket) => self.placer.finish(ticket, meta, done, now),
-            None => self.own[engine] -= 1,
+            None => self.in_flight[engine] -= 1,
         }
         if let AttemptOutcome::Refused(Some(report)) = &done.outcome {
             self.reports[engine] = *report;
@@ -162,8 +162,8 @@
         [0, 1].map(|_| open[self.rng.random_range(0..open.len())])
     }
 
-    /// Least reported load; ties are broken at random.
-    fn least(&mut self, open: &[usize]) -> usize {
+    /// Engine with the least reported load; ties are broken at random.
+    fn least_loaded(&mut self, open: &[usize]) -> usize {
         let load = |e: &usize| self.reports[*e].running + self.reports[*e].waiting;
         let least = open.iter().map(load).min().unwrap_or(0);
         let ties: Vec<usize> = open.iter().copied().filter(|e| load(e) == least).collect();
--- a/dev/bench/src/fleet/engine.rs
+++ b/dev/bench/src/fleet/engine.rs
@@ -1,23 +1,23 @@
-//! Engine that batches continuously and caches prompt prefixes.
+//! Model of an engine with continuous batching and a prompt prefix cache.
 
 use std::collections::{BTreeMap, HashMap};
 
 use pimentotide_model::Time;
 
-/// Blocks that the cache of an engine holds.
+/// Capacity of the prefix cache, in blocks.
 const CACHE_BLOCKS: usize = 4_000;
-/// Time to prefill one block in an empty batch, microseconds.
+/// Time to prefill one block in an empty batch, in microseconds.
 const BLOCK_MICROS: f64 = 2_000.0;
-/// Time of one step in an empty batch, microseconds.
+/// Time of one step in an empty batch, in microseconds.
 const STEP_MICROS: f64 = 10_000.0;
-/// Slowdown of a full batch.
+/// Relative slowdown that a full batch adds.
 const BATCH_SLOWDOWN: f64 = 1.0;
-/// Slowdown right after a cold start.
+/// Slowdown factor right after a cold start.
 const COLD_SLOWDOWN: f64 = 2.0;
-/// Completions after which a cold engine is warm.
-const WARM_AFTER: u32 = 32;
+/// Completions after which a cold engine runs at full speed.
+const WARM_UP_COMPLETIONS: u32 = 32;
 
-/// One request inside an engine.
+/// One request in the batch; `first` and `last` are in microseconds of the engine clock.
 #[derive(Clone, Copy, Debug)]
 struct Job {
     request: usize,
@@ -39,11 +39,11 @@
 /// Model of one engine.
 #[derive(Debug)]
 pub struct EngineModel {
-    /// Slowdown against a healthy engine.
+    /// Slowdown factor relative to a healthy engine.
     pub slowdown: f64,
-    /// Requests at once when warm.
+    /// Concurrent requests of a warm engine.
     pub capacity: u32,
-    /// Most requests seen at once beyond what the engine bears.
+    /// Highest number of concurrent requests beyond the warm capacity so far.
     pub excess: u32,
     jobs: Vec<Job>,
     clock: f64,
@@ -71,24 +71,24 @@
         }
     }
 
-    /// Drops the cache and the warmth, as after a restart.
+    /// Clears the cache and the warm-up, as after a restart.
     pub fn reset(&mut self) {
         self.completions = 0;
         self.uses.clear();
         self.order.clear();
     }
 
-    /// Requests that run.
+    /// Number of requests in the batch.
     pub fn running(&self) -> usize {
         self.jobs.len()
     }
 
-    /// Requests that the engine bears: two completions warm it for one more.
+    /// Concurrent requests for which the engine is warm: one more after every two completions.
     pub fn warm_capacity(&self) -> u32 {
         self.capacity.min(1 + self.completions / 2)
     }
 
-    /// Starts a request; returns blocks stored and blocks evicted.
+    /// Starts a request; returns the blocks stored and the blocks evicted.
     pub fn start(
         &mut self,
         request: usize,
@@ -127,7 +127,7 @@
         Some(self.updated + std::time::Duration::from_micros(micros.ceil() as u64))
     }
 
-    /// Moves to `now` and returns the milestones reached.
+    /// Advances to `now` and returns the milestones reached.
     pub fn reached(&mut self, now: Time) -> Vec<Milestone> {
         self.advance(now);
         let clock = self.clock + 0.5;
@@ -146,7 +146,7 @@
         reached
     }
 
-    /// Takes a request out of the batch.
+    /// Removes a request from the batch.
     pub fn cancel(&mut self, request: usize, now: Time) {
         self.advance(now);
         self.jobs.retain(|j| j.request != request);
@@ -158,15 +158,16 @@
         self.updated = self.updated.max(now);
     }
 
-    /// Progress per microsecond of a request in the current batch.
+    /// Progress of each request in the current batch, in engine clock per microsecond.
     fn rate(&self) -> f64 {
         let batch = 1.0 + BATCH_SLOWDOWN * self.jobs.len() as f64 / f64::from(self.capacity);
-        let left = 1.0 - f64::from(self.completions.min(WARM_AFTER)) / f64::from(WARM_AFTER);
-        let cold = 1.0 + (COLD_SLOWDOWN - 1.0) * left;
+        let cold_part = 1.0
+            - f64::from(self.completions.min(WARM_UP_COMPLETIONS)) / f64::from(WARM_UP_COMPLETIONS);
+        let cold = 1.0 + (COLD_SLOWDOWN - 1.0) * cold_part;
         1.0 / (batch * cold * self.slowdown)
     }
 
-    /// Marks blocks as used; returns those evicted.
+    /// Marks blocks as recently used; returns the blocks evicted.
     fn touch(&mut self, blocks: &[u64]) -> Vec<u64> {
         // The last block is marked first, so that leaves are evicted before roots.
         for block in blocks.iter().rev() {
--- a/dev/bench/src/fleet/event.rs
+++ b/dev/bench/src/fleet/event.rs
@@ -1,4 +1,4 @@
-//! Settings and events of the model deployment.
+//! Settings and events of the simulated deployment.
 
 use std::time::Duration;
 
@@ -7,37 +7,37 @@
 
 use super::chooser::Policy;
 
-/// Zone taken out or brought back at a time.
+/// Scheduled change of the administrative state of a zone.
 #[derive(Clone, Copy, Debug)]
 pub struct Order {
-    /// When operators give it.
+    /// Time at which the operator gives the order.
     pub at: Time,
-    /// Zone number.
+    /// Index of the zone.
     pub zone: usize,
-    /// Administrative state from then on.
+    /// New administrative state.
     pub standing: AdminState,
 }
 
-/// Shape of the deployment.
+/// Parameters of the simulated deployment.
 #[derive(Clone, Debug)]
 pub struct WorldSettings {
     /// Policy of all entries.
     pub policy: Policy,
-    /// Entries.
+    /// Number of entries, a multiple of three.
     pub entries: usize,
-    /// Slowdown of each engine.
+    /// Slowdown factor of each engine, one item per engine.
     pub engines: Vec<f64>,
-    /// Requests that an engine runs at once.
+    /// Concurrent requests per engine.
     pub capacity: u32,
-    /// Lag of load reports.
+    /// Delay of load reports.
     pub lag: Duration,
-    /// Nearness in the profile.
+    /// Zone preference in the profile.
     pub spread: Spread,
-    /// Candidates drawn by the placer.
+    /// Number of candidates that the placer draws per request.
     pub choices: usize,
-    /// Orders of operators.
+    /// Operator orders during the run.
     pub orders: Vec<Order>,
-    /// Seed.
+    /// Seed of all random draws of the deployment.
     pub seed: u64,
 }
 
@@ -68,7 +68,7 @@
     Reported {
         engine: usize,
         report: LoadReport,
-        taken: Time,
+        taken_at: Time,
     },
     Cache {
         engine: usize,
@@ -78,7 +78,7 @@
         entry: usize,
         engine: usize,
     },
-    Ask {
+    Demand {
         engine: usize,
         entry: usize,
         demand: EntryDemand,
@@ -88,7 +88,7 @@
         entry: usize,
         credit: CreditId,
     },
-    GiveBack {
+    ReturnCredit {
         engine: usize,
         credit: CreditId,
     },
--- a/dev/bench/src/fleet/mod.rs
+++ b/dev/bench/src/fleet/mod.rs
@@ -1,8 +1,8 @@
-//! Small model of a deployment under virtual time, for the routing benches.
+//! Simulation of a deployment in virtual time, for the routing benches.
 //!
-//! Nine entries place requests on engines that batch, cache prefixes and warm
-//! up. The gates, queues and the placer are those of the product; the engines
-//! and the network are models.
+//! Entries (nine in each bench) place requests on engines that batch, cache
+//! prefixes and warm up. Gates, queues and the placer are the production code;
+//! engines and the network are models.
 
 mod agent;
 mod chooser;
--- a/dev/bench/src/fleet/result.rs
+++ b/dev/bench/src/fleet/result.rs
@@ -1,4 +1,4 @@
-//! What callers got, and its summary.
+//! Results of requests and their summary.
 
 use std::time::Duration;
 
@@ -7,51 +7,51 @@
 /// How a request ended for its caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Answered in full.
+    /// Answered completely.
     Answered,
-    /// Refused as "not run".
+    /// Refused without having run on an engine.
     Refused,
 }
 
-/// What one caller got.
+/// Result of one request.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestResult {
-    /// Arrival of the request.
+    /// Time of arrival at the entry.
     pub arrival: Time,
-    /// How it ended.
+    /// Outcome for the caller.
     pub outcome: Outcome,
-    /// Time to the first token.
+    /// Time from arrival to the first token; zero if refused.
     pub first: Duration,
-    /// Time to the end.
+    /// Time from arrival to the end.
     pub total: Duration,
-    /// Whether the end came before the deadline.
+    /// Whether the answer was complete by the deadline.
     pub met_deadline: bool,
-    /// Blocks of the prompt.
+    /// Number of prompt blocks; zero if refused.
     pub blocks: u32,
-    /// Blocks found in the cache.
+    /// Number of prompt blocks found in the cache.
     pub cached: u32,
-    /// Refusals by gates before the request was placed.
+    /// Number of refusals by gates.
     pub refusals: u32,
 }
 
-/// Figures of one run.
+/// Summary of one run.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Summary {
-    /// First-token time, ms: p50, p95, p99.
+    /// Time to the first token, in milliseconds: p50, p95, p99.
     pub first: [f64; 3],
-    /// Total time, ms: p50, p95, p99.
+    /// Total time, in milliseconds: p50, p95, p99.
     pub total: [f64; 3],
-    /// Answers in time, a second.
+    /// Answers within their deadline, per second.
     pub goodput: f64,
-    /// Part of the prompt blocks found in caches.
+    /// Ratio of prompt blocks found in caches.
     pub hits: f64,
-    /// Part of the requests refused.
+    /// Ratio of requests refused.
     pub refused: f64,
-    /// Refusals by gates for each request.
+    /// Mean number of refusals by gates per request.
     pub gate_refusals: f64,
 }
 
-/// Summarizes the answers to requests that arrived between `from` and `to`.
+/// Summarizes the requests that arrived from `from` until before `to`.
 pub fn summarize(results: &[RequestResult], from: Time, to: Time) -> Summary {
     let measured: Vec<&RequestResult> = results
         .iter()
@@ -61,7 +61,7 @@
         .iter()
         .filter(|a| a.outcome == Outcome::Answered)
         .collect();
-    let timely = answered.iter().filter(|a| a.met_deadline).count();
+    let in_time = answered.iter().filter(|a| a.met_deadline).count();
     let blocks: u64 = answered.iter().map(|a| u64::from(a.blocks)).sum();
     let cached: u64 = answered.iter().map(|a| u64::from(a.cached)).sum();
     let gate_refusals: u64 = measured.iter().map(|a| u64::from(a.refusals)).sum();
@@ -69,14 +69,14 @@
     Summary {
         first: quantiles(answered.iter().map(|a| a.first)),
         total: quantiles(answered.iter().map(|a| a.total)),
-        goodput: timely as f64 / to.since(from).as_secs_f64(),
+        goodput: in_time as f64 / to.since(from).as_secs_f64(),
         hits: cached as f64 / blocks.max(1) as f64,
         refused: 1.0 - answered.len() as f64 / count,
         gate_refusals: gate_refusals as f64 / count,
     }
 }
 
-/// Median of each figure over several runs.
+/// Returns the median of each figure over several runs.
 pub fn median(runs: &[Summary]) -> Summary {
     let pick = |read: &dyn Fn(&Summary) -> f64| {
         let mut values: Vec<f64> = runs.iter().map(read).collect();
--- a/dev/bench/src/fleet/setup.rs
+++ b/dev/bench/src/fleet/setup.rs
@@ -1,4 +1,4 @@
-//! Parts of the model deployment and how they start.
+//! Components of the simulated deployment and their initial state.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -18,27 +18,29 @@
 use super::engine::EngineModel;
 use super::event::WorldSettings;
 
-/// Zones of the deployment.
+/// Zone names; engines and entries are assigned to them in turn.
 pub(super) const ZONES: [&str; 3] = ["accra-a", "accra-b", "tema-c"];
-/// One way within a zone.
+/// One-way network delay within a zone.
 const NEAR_DELAY: Duration = Duration::from_micros(100);
-/// One way between zones.
+/// One-way network delay between zones.
 pub(super) const FAR_DELAY: Duration = Duration::from_micros(900);
 
+/// Agent and engine of one upstream.
 pub(super) struct Node {
     pub(super) gate: Gate,
     pub(super) engine: EngineModel,
     pub(super) version: u64,
     pub(super) sequence: u64,
-    pub(super) holds: BTreeMap<u64, ()>,
+    pub(super) cached_blocks: BTreeMap<u64, ()>,
 }
 
 pub(super) struct Entry {
     pub(super) chooser: Chooser,
     pub(super) queue: FairQueue<usize>,
-    pub(super) asked: Option<Time>,
+    pub(super) demand_sent_at: Option<Time>,
 }
 
+/// Progress of one request.
 #[derive(Default)]
 pub(super) struct Flight {
     pub(super) engine: usize,
@@ -66,7 +68,7 @@
         engine: EngineModel::new(settings.capacity, settings.engines[index]),
         version: 0,
         sequence: 0,
-        holds: BTreeMap::new(),
+        cached_blocks: BTreeMap::new(),
     }
 }
 
@@ -77,12 +79,12 @@
     rng: &mut ChaCha8Rng,
 ) -> Entry {
     let zone = ZoneName::from(ZONES[index % 3]);
-    let mut placing = PlacerSettings::new(instance(index), zone);
-    placing.choices = settings.choices;
+    let mut placer_settings = PlacerSettings::new(instance(index), zone);
+    placer_settings.choices = settings.choices;
     let names = (0..settings.engines.len()).map(upstream).collect();
-    let own = ChaCha8Rng::seed_from_u64(rng.random());
+    let chooser_rng = ChaCha8Rng::seed_from_u64(rng.random());
     let turn = rng.random_range(0..1_000);
-    let mut chooser = Chooser::new(settings.policy, placing, names, turn, own);
+    let mut chooser = Chooser::new(settings.policy, placer_settings, names, turn, chooser_rng);
     chooser.placer.declare(declarations.clone());
     for engine in 0..settings.engines.len() {
         chooser.placer.announce(announcement(settings, engine));
@@ -95,7 +97,7 @@
     Entry {
         chooser,
         queue: FairQueue::open(service, profile.queue, profile.shares),
-        asked: None,
+        demand_sent_at: None,
     }
 }
 
@@ -149,7 +151,7 @@
     InstanceName::from(format!("e{index}"))
 }
 
-/// One way between an entry and an engine.
+/// One-way network delay between an entry and an engine.
 pub(super) fn delay(entry: usize, engine: usize) -> Duration {
     if entry % 3 == engine % 3 {
         NEAR_DELAY
--- a/dev/bench/src/fleet/workload.rs
+++ b/dev/bench/src/fleet/workload.rs
@@ -1,4 +1,4 @@
-//! Requests offered to the deployment, the same for every policy.
+//! Requests offered to the deployment; a seed yields the same ones for every policy.
 
 use std::time::Duration;
 
@@ -8,53 +8,53 @@
 use rand::{Rng, RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// Blocks of the prompt that all requests of a workspace share.
+/// Prompt blocks shared by all requests of a workspace.
 const SYSTEM_BLOCKS: u64 = 4;
-/// Blocks of a document.
+/// Prompt blocks of a quoted document.
 const DOCUMENT_BLOCKS: u64 = 60;
-/// Blocks of a prompt that no other request shares.
-const OWN_BLOCKS: u64 = 16;
-/// Documents of each workspace.
+/// Prompt blocks that no other request shares.
+const UNIQUE_BLOCKS: u64 = 16;
+/// Number of documents per workspace.
 const DOCUMENTS: u64 = 40;
-/// Workspaces.
+/// Number of workspaces.
 const WORKSPACES: usize = 10;
-/// Mean tokens of an answer.
+/// Mean of the exponential distribution of answer lengths, in tokens.
 const MEAN_TOKENS: f64 = 60.0;
-/// Most tokens of an answer.
+/// Longest answer, in tokens.
 const MAX_TOKENS: f64 = 400.0;
 
-/// One request offered.
+/// One offered request.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// Entry that the caller uses.
+    /// Index of the entry that the caller uses.
     pub entry: usize,
-    /// Arrival at the entry.
+    /// Time of arrival at the entry.
     pub arrival: Time,
-    /// Attributes.
+    /// Attributes used for routing.
     pub meta: RequestMeta,
-    /// Tokens of its answer.
+    /// Length of the answer, in tokens.
     pub tokens: u32,
 }
 
 /// Shape of the load.
 #[derive(Clone, Copy, Debug)]
 pub struct Load {
-    /// Requests a second.
+    /// Mean arrival rate, in requests per second.
     pub rate: f64,
-    /// Length of the load.
+    /// Duration of the load.
     pub length: Duration,
-    /// Part of the load that goes to the entries of the first zone.
+    /// Ratio of the requests that arrive at the entries of the first zone.
     pub first_zone: f64,
-    /// Whether prompts quote documents, a few of them often.
+    /// Whether prompts quote documents, with skewed popularity.
     pub documents: bool,
-    /// Time that a request has.
+    /// Time from arrival to the deadline of a request.
     pub deadline: Duration,
 }
 
-/// Requests in the order of their arrival.
+/// All requests of a run.
 #[derive(Clone, Debug)]
 pub struct Workload {
-    /// The requests.
+    /// Requests in the order of arrival.
     pub requests: Vec<Request>,
 }
 
@@ -85,7 +85,7 @@
         rng.random_range(1..3)
     };
     let entry = zone + 3 * rng.random_range(0..per_zone);
-    let workspace = skewed(WORKSPACES as u64, rng);
+    let workspace = draw_skewed(WORKSPACES as u64, rng);
     let tokens = -(1.0 - rng.random::<f64>()).ln() * MEAN_TOKENS;
     Request {
         entry,
@@ -114,15 +114,15 @@
         .map(|i| digest(1, workspace, i))
         .collect();
     if load.documents {
-        let document = workspace * DOCUMENTS + skewed(DOCUMENTS, rng);
+        let document = workspace * DOCUMENTS + draw_skewed(DOCUMENTS, rng);
         blocks.extend((0..DOCUMENT_BLOCKS).map(|i| digest(2, document, i)));
     }
-    blocks.extend((0..OWN_BLOCKS).map(|i| digest(3, id, i)));
+    blocks.extend((0..UNIQUE_BLOCKS).map(|i| digest(3, id, i)));
     blocks
 }
 
-/// Draws below `count`, low numbers more often.
-fn skewed<R>(count: u64, rng: &mut R) -> u64
+/// Draws a number below `count`, low ones more often.
+fn draw_skewed<R>(count: u64, rng: &mut R) -> u64
 where
     R: Rng,
 {
--- a/dev/bench/src/fleet/world.rs
+++ b/dev/bench/src/fleet/world.rs
@@ -1,4 +1,4 @@
-//! Events of the model deployment.
+//! Event loop of the simulated deployment and the events of its entries.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -20,13 +20,13 @@
 use super::workload::Workload;
 
 /// Time between load reports of one agent.
-pub(super) const REPORT_EVERY: Duration = Duration::from_millis(50);
+pub(super) const REPORT_INTERVAL: Duration = Duration::from_millis(50);
 /// Time between ticks of an entry.
-const ENTRY_TICK: Duration = Duration::from_millis(50);
-/// Delay of declarations.
-const DECLARE_DELAY: Duration = Duration::from_millis(100);
+const ENTRY_TICK_INTERVAL: Duration = Duration::from_millis(50);
+/// Time from an operator order until entries and agents apply it.
+const DECLARATION_DELAY: Duration = Duration::from_millis(100);
 
-/// The model deployment.
+/// Simulated deployment.
 pub struct World {
     pub(super) settings: WorldSettings,
     pub(super) workload: Workload,
@@ -39,14 +39,14 @@
     pub(super) entries: Vec<Entry>,
     pub(super) flights: Vec<Flight>,
     pub(super) rng: ChaCha8Rng,
-    /// What callers got.
+    /// Results of the requests that have ended, in the order of their end.
     pub results: Vec<RequestResult>,
-    /// Running requests by zone, sampled with each report.
+    /// Running requests by zone, sampled with each report of the first engine.
     pub samples: Vec<(Time, [u32; 3])>,
 }
 
 impl World {
-    /// Builds the deployment.
+    /// Builds the deployment and schedules its first events.
     pub fn new(settings: WorldSettings, workload: Workload) -> Self {
         let declarations = declarations(settings.spread);
         let mut rng = ChaCha8Rng::seed_from_u64(settings.seed);
@@ -76,7 +76,7 @@
         world
     }
 
-    /// Runs all events up to `until`.
+    /// Handles all events up to and including `until`.
     pub fn run(&mut self, until: Time) {
         while let Some(Reverse((at, id))) = self.events.peek().copied() {
             if at > until {
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Requests run at once beyond what an engine bore, worst of all engines.
+    /// Highest number of concurrent requests beyond the warm capacity, over all engines.
     pub fn excess(&self) -> u32 {
         self.nodes
             .iter()
@@ -99,14 +99,14 @@
             .unwrap_or(0)
     }
 
-    /// Requests that gates count as running and that engines run.
+    /// Requests running according to the gates, and according to the engines.
     pub fn running(&self) -> (u32, usize) {
         let gates = self.nodes.iter().map(|n| n.gate.running()).sum();
         let engines = self.nodes.iter().map(|n| n.engine.running()).sum();
         (gates, engines)
     }
 
-    /// Places allowed by the gates of each zone.
+    /// Sum of the gates' allowances by zone, in concurrent requests.
     pub fn allowance(&self) -> [u32; 3] {
         self.by_zone(|n| n.gate.allowance())
     }
@@ -127,11 +127,11 @@
             self.at(self.workload.requests[i].arrival, Event::Arrive(i));
         }
         for engine in 0..self.nodes.len() {
-            let offset = REPORT_EVERY * engine as u32 / self.nodes.len() as u32;
+            let offset = REPORT_INTERVAL * engine as u32 / self.nodes.len() as u32;
             self.after(offset, Event::Report { engine });
         }
         for entry in 0..self.entries.len() {
-            let offset = ENTRY_TICK * entry as u32 / self.entries.len() as u32;
+            let offset = ENTRY_TICK_INTERVAL * entry as u32 / self.entries.len() as u32;
             self.after(offset, Event::EntryTick { entry });
         }
         for i in 0..self.settings.orders.len() {
@@ -165,15 +165,15 @@
             Event::Reported {
                 engine,
                 report,
-                taken,
+                taken_at,
             } => {
                 for entry in &mut self.entries {
-                    entry.chooser.report(engine, &report, taken);
+                    entry.chooser.report(engine, &report, taken_at);
                 }
             }
             Event::Cache { engine, event } => self.cache(engine, &event),
             Event::Snapshot { entry, engine } => self.snapshot(entry, engine),
-            Event::Ask {
+            Event::Demand {
                 engine,
                 entry,
                 demand,
@@ -188,7 +188,7 @@
                 entry,
                 credit,
             } => self.granted(engine, entry, credit),
-            Event::GiveBack { engine, credit } => {
+            Event::ReturnCredit { engine, credit } => {
                 let grants = self.nodes[engine].gate.return_credit(credit, self.now);
                 self.send_grants(engine, grants);
             }
@@ -245,26 +245,26 @@
         for shed in shed {
             self.refuse(shed.queued.item);
         }
-        self.ask(index, false);
+        self.send_demand(index, false);
     }
 
-    /// States the demand of an entry to all agents.
-    fn ask(&mut self, entry: usize, again: bool) {
+    /// Sends the demand of an entry to all agents, at most every 10 ms unless `force` is set.
+    fn send_demand(&mut self, entry: usize, force: bool) {
         let count = self.nodes.len();
         let state = &mut self.entries[entry];
         let recent = state
-            .asked
+            .demand_sent_at
             .is_some_and(|at| self.now.since(at) < Duration::from_millis(10));
-        if state.queue.is_empty() || (recent && !again) {
+        if state.queue.is_empty() || (recent && !force) {
             return;
         }
-        state.asked = Some(self.now);
+        state.demand_sent_at = Some(self.now);
         let demand = state.queue.demand(count, self.now);
         for engine in 0..count {
             let demand = demand.clone();
             self.after(
                 delay(entry, engine),
-                Event::Ask {
+                Event::Demand {
                     engine,
                     entry,
                     demand,
@@ -275,7 +275,7 @@
 
     fn granted(&mut self, engine: usize, entry: usize, credit: CreditId) {
         let Some(queued) = self.entries[entry].queue.pop(self.now) else {
-            self.after(delay(entry, engine), Event::GiveBack { engine, credit });
+            self.after(delay(entry, engine), Event::ReturnCredit { engine, credit });
             return;
         };
         let request = queued.item;
@@ -287,7 +287,7 @@
             }
             _ => {
                 self.entries[entry].queue.requeue(queued, self.now);
-                self.after(delay(entry, engine), Event::GiveBack { engine, credit });
+                self.after(delay(entry, engine), Event::ReturnCredit { engine, credit });
             }
         }
     }
@@ -341,14 +341,14 @@
     fn finish(
         &mut self,
         request: usize,
-        verdict: AttemptOutcome,
+        outcome: AttemptOutcome,
         tokens: u32,
         cached: Option<u32>,
     ) {
         let offered = &self.workload.requests[request];
         let flight = &mut self.flights[request];
         let done = Finished {
-            outcome: verdict,
+            outcome,
             first_token: flight.first.map(|f| f.since(flight.sent)),
             total: self.now.since(flight.sent),
             tokens,
@@ -379,8 +379,8 @@
         for shed in state.queue.shed_late(self.now) {
             self.refuse(shed.queued.item);
         }
-        self.ask(entry, true);
-        self.after(ENTRY_TICK, Event::EntryTick { entry });
+        self.send_demand(entry, true);
+        self.after(ENTRY_TICK_INTERVAL, Event::EntryTick { entry });
     }
 
     fn order(&mut self, index: usize) {
@@ -392,11 +392,11 @@
         if order.standing == AdminState::In {
             for engine in (order.zone..self.nodes.len()).step_by(3) {
                 self.nodes[engine].engine.reset();
-                self.nodes[engine].holds.clear();
+                self.nodes[engine].cached_blocks.clear();
                 self.publish(engine, CacheChange::Cleared);
             }
         }
-        self.after(DECLARE_DELAY, Event::Declared);
+        self.after(DECLARATION_DELAY, Event::Declared);
     }
 
     fn declared(&mut self) {
--- a/dev/bench/src/lib.rs
+++ b/dev/bench/src/lib.rs
@@ -1,4 +1,4 @@
-//! Parts that benches share.
+//! Code shared by the benches.
 
 pub mod fleet;
 pub mod load;
--- a/dev/bench/src/load.rs
+++ b/dev/bench/src/load.rs
@@ -1,4 +1,6 @@
-//! Open-loop load on a completion server, with latency from the intended start.
+//! Open-loop load on a completion server.
+//!
+//! Latency counts from the intended start, so that delays of the generator are included.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -9,30 +11,30 @@
 use futures_util::StreamExt;
 use hdrhistogram::Histogram;
 
-/// Highest latency recorded, in microseconds.
+/// Highest latency recorded, in microseconds; longer ones are clamped.
 const MAX_MICROS: u64 = 60_000_000;
 
-/// Load to offer.
+/// Parameters of a load run.
 #[derive(Clone, Debug)]
 pub struct Load {
-    /// Server to load.
+    /// Server that receives the requests.
     pub target: SocketAddr,
     /// Path of the requests.
     pub path: &'static str,
     /// Body of the requests.
     pub body: String,
-    /// Requests offered a second.
+    /// Requests per second.
     pub rate: u32,
-    /// Time for which load is offered.
+    /// Duration of the load.
     pub length: Duration,
 }
 
-/// What the load met with.
+/// Results of a load run.
 #[derive(Clone, Debug)]
 pub struct Outcome {
     /// Requests offered.
     pub offered: u64,
-    /// Requests answered with success.
+    /// Requests answered in full with a success status.
     pub answered: u64,
     /// Requests that failed or were refused.
     pub failed: u64,
@@ -40,7 +42,7 @@
     pub first_byte: Histogram<u64>,
     /// Time to the end, in microseconds.
     pub total: Histogram<u64>,
-    /// Longest pause between two parts of one answer, in microseconds.
+    /// Longest gap between two chunks of one response, in microseconds.
     pub pause: Histogram<u64>,
     /// Wall time from the first start to the last end.
     pub wall: Duration,
@@ -61,7 +63,7 @@
     }
 }
 
-/// Offers the load and waits for all answers.
+/// Offers the load and waits until every request has ended.
 pub async fn offer(load: &Load) -> Outcome {
     let client = Client::builder()
         .connector(Connector::new().limit(4096))
@@ -74,8 +76,8 @@
     for number in 0..count {
         let intended = start + Duration::from_secs_f64(f64::from(number) / f64::from(load.rate));
         tokio::time::sleep_until(intended.into()).await;
-        let one = one(client.clone(), load.clone(), intended, Rc::clone(&outcome));
-        tasks.push(actix_rt::spawn(one));
+        let request = run_request(client.clone(), load.clone(), intended, Rc::clone(&outcome));
+        tasks.push(actix_rt::spawn(request));
     }
     for task in tasks {
         task.await.expect("a request task does not panic");
@@ -85,9 +87,9 @@
     outcome
 }
 
-async fn one(client: Client, load: Load, intended: Instant, outcome: Rc<RefCell<Outcome>>) {
+async fn run_request(client: Client, load: Load, intended: Instant, outcome: Rc<RefCell<Outcome>>) {
     outcome.borrow_mut().offered += 1;
-    let answered = request(&client, &load, intended, &outcome).await;
+    let answered = send_request(&client, &load, intended, &outcome).await;
     let mut outcome = outcome.borrow_mut();
     if answered {
         outcome.answered += 1;
@@ -97,7 +99,7 @@
     }
 }
 
-async fn request(
+async fn send_request(
     client: &Client,
     load: &Load,
     intended: Instant,
@@ -108,14 +110,14 @@
         .post(url)
         .content_type("application/json")
         .send_body(load.body.clone());
-    let Ok(mut answer) = sent.await else {
+    let Ok(mut response) = sent.await else {
         return false;
     };
-    if !answer.status().is_success() {
+    if !response.status().is_success() {
         return false;
     }
     let (mut last, mut longest) = (None::<Instant>, Duration::ZERO);
-    while let Some(chunk) = answer.next().await {
+    while let Some(chunk) = response.next().await {
         if chunk.is_err() {
             return false;
         }
--- a/dev/bench/src/measure.rs
+++ b/dev/bench/src/measure.rs
@@ -1,15 +1,15 @@
-//! Measures of processor time and memory for the capacity benches.
+//! Measurement of processor time and memory for the capacity benches.
 
 use std::hint::black_box;
 use std::time::Instant;
 
-/// Runs of each timing.
+/// Timed runs per measurement.
 pub const RUNS: usize = 7;
 
-/// Unit of memory in `/proc`.
+/// Page size assumed for the counts in `/proc/self/statm`.
 const PAGE_BYTES: u64 = 4096;
 
-/// Times `work`, which is done `count` times in each run, and returns ns a time as min/median/max.
+/// Calls `work` `count` times in each run; returns nanoseconds per call as min/median/max.
 pub fn nanos<F>(count: usize, mut work: F) -> String
 where
     F: FnMut(usize),
@@ -28,9 +28,9 @@
     format!("{low:.0}/{median:.0}/{high:.0}")
 }
 
-/// Builds something and returns the resident memory that it takes, bytes an item.
+/// Returns the growth in resident memory caused by `build`, in bytes per item.
 ///
-/// What is built is kept, so that later measures find no freed memory to reuse.
+/// The built value is leaked so that later measurements cannot reuse its memory.
 pub fn memory_per_item<T, F>(items: usize, build: F) -> f64
 where
     F: FnOnce() -> T,
@@ -42,7 +42,7 @@
     after.saturating_sub(before) as f64 / items as f64
 }
 
-/// Resident memory of this process, bytes.
+/// Resident memory of this process in bytes; 0 if `/proc` cannot be read.
 pub fn resident_bytes() -> u64 {
     let text = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages = text.split(' ').nth(1).and_then(|p| p.parse().ok());
--- a/dev/bench/src/pair.rs
+++ b/dev/bench/src/pair.rs
@@ -1,4 +1,4 @@
-//! One engine, one agent and one entry in this process, without control replicas.
+//! One engine, one agent and one entry in a single process, without control replicas.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -18,12 +18,14 @@
 
 /// Model that the engine serves.
 pub const MODEL: &str = "bench";
-/// Requests that the engine runs at once.
+/// Concurrent requests that the engine runs.
 const CAPACITY: u32 = 4096;
-/// Time that a stop waits for requests.
-const DRAIN: Duration = Duration::from_secs(10);
+/// Time that a stopping process waits for open requests.
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Starts an engine, its agent and an entry that knows it.
+/// Starts an engine, its agent and an entry whose view lists the engine.
+///
+/// Also returns the sender of the view that agent and entry follow.
 pub async fn start_deployment() -> (Engine, Agent, Entry, watch::Sender<View>) {
     let token = Token::open("bench-secret-0123456789").expect("a valid secret");
     let view = watch::Sender::new(View {
@@ -40,7 +42,7 @@
         view: view.subscribe(),
         control: None,
         metrics: Metrics::none(),
-        drain: DRAIN,
+        drain: DRAIN_TIMEOUT,
     })
     .expect("the agent starts");
     let engine = Engine::spawn(EngineOptions {
@@ -56,9 +58,9 @@
     let announcement = announced
         .wait_for(Option::is_some)
         .await
-        .expect("the agent lives")
+        .expect("the agent is running")
         .clone();
-    let announcement = announcement.expect("waited for");
+    let announcement = announcement.expect("the agent has announced");
     view.send_modify(|v| {
         v.upstreams = Arc::new([(announcement.upstream.clone(), announcement)].into());
     });
@@ -78,7 +80,7 @@
             body: DEFAULT_BODY_BYTES,
             workspace: Some(WorkspaceName::from("bench")),
             keep: DEFAULT_KEEP,
-            drain: DRAIN,
+            drain: DRAIN_TIMEOUT,
         },
         entries: vec![Peer {
             name,
--- a/dev/bench/src/rival.rs
+++ b/dev/bench/src/rival.rs
@@ -1,9 +1,9 @@
-//! Two other ways to switch maps, as baselines under the same faults.
+//! Two baseline protocols for switching maps, run under the same faults.
 //!
-//! In the two-phase switch a step is named when the ranks arm: a rank that
-//! reaches the step holds it until it hears the decision. In the barrier
-//! switch a rank holds from the moment that it arms until it hears the fire.
-//! Weights are in place before either begins.
+//! In the two-phase switch the coordinator proposes a step when the ranks arm: a
+//! rank that reaches this step waits until it receives the decision. In the
+//! barrier switch a rank waits from arming until it receives the decision.
+//! Weights are loaded before either switch begins.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
@@ -14,47 +14,47 @@
 use crate::group::{ELECTION, PROPOSAL, Process, RANKS, RESTART, STEP, TICK};
 use crate::network::{Fault, Network};
 
-/// Time that the first rank takes to load its weights after a restart; others take longer.
-const RELOAD: Duration = Duration::from_millis(150);
+/// Time to load the weights after a restart, for rank 0; rank n takes n + 1 times as long.
+const RELOAD_TIME: Duration = Duration::from_millis(150);
 
-/// Steps between the newest known step and the named one.
-const LEAD: u64 = 8;
+/// Steps between the newest known step and the proposed switch step.
+const STEP_LEAD: u64 = 8;
 
-/// Way of switching.
+/// Baseline protocol for a switch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Way {
+pub(crate) enum Protocol {
     TwoPhase,
     Barrier,
 }
 
 #[derive(Clone, Copy, Debug)]
-enum Note {
+enum Message {
     Arm(u64),
     Armed(u16, u64),
     Refused(u64),
     Decided(u64),
-    Heard(u16),
-    Ask(u16),
-    Plain,
+    Acknowledged(u16),
+    Query(u16),
+    KeepMap,
 }
 
 #[derive(Clone, Copy, Debug)]
 enum Event {
-    Deliver(Process, Note),
+    Deliver(Process, Message),
     Tick(Process, u64),
     StepDone(u64),
     Restart(Process),
     Ready(u16, u64),
 }
 
-/// What a rank has been told.
+/// Last instruction that a rank received.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Told {
-    /// Nothing since its start.
-    Nothing,
+enum Instruction {
+    /// None received since the rank started.
+    Unknown,
     /// Run under the old map.
-    Plain,
-    /// Hold the step of this number.
+    KeepMap,
+    /// Wait before the step of this number.
     Armed(u64),
     /// Run under the new map from this step on.
     Decided(u64),
@@ -66,58 +66,61 @@
     start: u64,
     step: u64,
     running: bool,
-    told: Told,
+    instruction: Instruction,
 }
 
-/// Group that switches in one of the two ways.
-pub(crate) struct Rival {
-    way: Way,
+/// Group that switches by one of the two protocols.
+pub(crate) struct BaselineGroup {
+    protocol: Protocol,
     now: Time,
     queue: BinaryHeap<Reverse<(Time, u64)>>,
     events: BTreeMap<u64, Event>,
     next: u64,
     network: Network,
+    /// Step at which each rank armed; `None` while the control process is down.
     control: Option<BTreeMap<u16, u64>>,
-    heard: BTreeSet<u16>,
+    acknowledged: BTreeSet<u16>,
     control_start: u64,
-    named: Option<u64>,
+    /// Step proposed for the switch.
+    proposed: Option<u64>,
     decided: Option<u64>,
     ranks: Vec<Rank>,
     started: BTreeSet<u16>,
     last_step: Time,
-    pub(crate) longest: Duration,
+    /// Longest time between two steps that all ranks finished.
+    pub(crate) longest_gap: Duration,
 }
 
-impl Rival {
-    pub(crate) fn new(way: Way, network: Network) -> Self {
+impl BaselineGroup {
+    pub(crate) fn new(protocol: Protocol, network: Network) -> Self {
         let rank = || Rank {
             alive: true,
             ready: true,
             start: 0,
             step: 0,
             running: false,
-            told: Told::Plain,
+            instruction: Instruction::KeepMap,
         };
-        let mut rival = Self {
-            way,
+        let mut group = Self {
+            protocol,
             now: Time::ZERO,
             queue: BinaryHeap::new(),
             events: BTreeMap::new(),
             next: 0,
             network,
             control: Some(BTreeMap::new()),
-            heard: BTreeSet::new(),
+            acknowledged: BTreeSet::new(),
             control_start: 0,
-            named: None,
+            proposed: None,
             decided: None,
             ranks: (0..RANKS).map(|_| rank()).collect(),
             started: BTreeSet::new(),
             last_step: Time::ZERO,
-            longest: Duration::ZERO,
+            longest_gap: Duration::ZERO,
         };
-        rival.after(PROPOSAL, Event::Tick(Process::Control, 0));
-        rival.start_ranks();
-        rival
+        group.after(PROPOSAL, Event::Tick(Process::Control, 0));
+        group.start_ranks();
+        group
     }
 
     pub(crate) fn run(&mut self, end: Time) {
@@ -131,7 +134,7 @@
             self.handle(event);
         }
         self.now = end;
-        self.longest = self.longest.max(end.since(self.last_step));
+        self.longest_gap = self.longest_gap.max(end.since(self.last_step));
     }
 
     pub(crate) fn count(&self) -> u64 {
@@ -150,7 +153,7 @@
 
     fn handle(&mut self, event: Event) {
         match event {
-            Event::Deliver(to, note) => self.deliver(to, note),
+            Event::Deliver(to, message) => self.deliver(to, message),
             Event::Tick(process, start) => self.tick(process, start),
             Event::StepDone(step) => self.step_done(step),
             Event::Restart(process) => self.restart(process),
@@ -184,7 +187,7 @@
                 rank.alive = false;
                 rank.ready = false;
                 rank.running = false;
-                rank.told = Told::Nothing;
+                rank.instruction = Instruction::Unknown;
                 self.after(RESTART, Event::Restart(process));
             }
             _ => {}
@@ -195,9 +198,9 @@
         match process {
             Process::Control => {
                 self.control = Some(BTreeMap::new());
-                self.heard.clear();
-                // The log holds no decision: the armed step is given up and named anew.
-                self.named = None;
+                self.acknowledged.clear();
+                // The log holds no decision: the proposed step is dropped and proposed anew.
+                self.proposed = None;
                 self.control_start += 1;
                 self.after(Duration::ZERO, Event::Tick(process, self.control_start));
             }
@@ -207,20 +210,23 @@
                 rank.start += 1;
                 let start = rank.start;
                 self.started.remove(&number);
-                self.after(RELOAD * u32::from(number + 1), Event::Ready(number, start));
+                self.after(
+                    RELOAD_TIME * u32::from(number + 1),
+                    Event::Ready(number, start),
+                );
                 self.after(Duration::ZERO, Event::Tick(process, start));
             }
             _ => {}
         }
     }
 
-    fn send(&mut self, from: Process, to: Process, note: Note) {
+    fn send(&mut self, from: Process, to: Process, message: Message) {
         if !self.alive(from) {
             return;
         }
         let transmission = self.network.transmit(from, to);
         for delay in transmission.delays {
-            self.after(delay, Event::Deliver(to, note));
+            self.after(delay, Event::Deliver(to, message));
         }
         match transmission.fault {
             Some(Fault::KillSender) => self.kill(from),
@@ -238,8 +244,8 @@
         match process {
             Process::Control if start == self.control_start => self.tick_control(),
             Process::Rank(rank) if start == self.ranks[usize::from(rank)].start => {
-                if self.ranks[usize::from(rank)].told == Told::Nothing {
-                    self.send(process, Process::Control, Note::Ask(rank));
+                if self.ranks[usize::from(rank)].instruction == Instruction::Unknown {
+                    self.send(process, Process::Control, Message::Query(rank));
                 }
             }
             _ => return,
@@ -249,97 +255,111 @@
 
     fn tick_control(&mut self) {
         let steps = self.ranks.iter().map(|r| r.step).max().unwrap_or(0);
-        let lead = if self.way == Way::TwoPhase { LEAD } else { 0 };
-        let named = *self.named.get_or_insert(steps + lead);
+        let lead = if self.protocol == Protocol::TwoPhase {
+            STEP_LEAD
+        } else {
+            0
+        };
+        let proposed = *self.proposed.get_or_insert(steps + lead);
         for rank in 0..RANKS {
             let armed = self.control.as_ref().is_some_and(|a| a.contains_key(&rank));
             match self.decided {
-                Some(step) if !self.heard.contains(&rank) => {
-                    self.send(Process::Control, Process::Rank(rank), Note::Decided(step));
+                Some(step) if !self.acknowledged.contains(&rank) => {
+                    self.send(
+                        Process::Control,
+                        Process::Rank(rank),
+                        Message::Decided(step),
+                    );
                 }
                 None if !armed => {
-                    self.send(Process::Control, Process::Rank(rank), Note::Arm(named));
+                    self.send(
+                        Process::Control,
+                        Process::Rank(rank),
+                        Message::Arm(proposed),
+                    );
                 }
                 _ => {}
             }
         }
     }
 
-    fn deliver(&mut self, to: Process, note: Note) {
+    fn deliver(&mut self, to: Process, message: Message) {
         if !self.alive(to) {
             return;
         }
         match to {
-            Process::Control => self.deliver_control(note),
-            Process::Rank(rank) => self.deliver_rank(rank, note),
+            Process::Control => self.deliver_control(message),
+            Process::Rank(rank) => self.deliver_rank(rank, message),
             _ => {}
         }
         self.start_ranks();
     }
 
-    fn deliver_control(&mut self, note: Note) {
-        match note {
-            Note::Armed(rank, step) => {
+    fn deliver_control(&mut self, message: Message) {
+        match message {
+            Message::Armed(rank, step) => {
                 let Some(armed) = &mut self.control else {
                     return;
                 };
                 armed.insert(rank, step);
                 if armed.len() == usize::from(RANKS) && self.decided.is_none() {
                     let newest = armed.values().max().copied().unwrap_or(0);
-                    let named = self.named.unwrap_or(0);
-                    let barrier = self.way == Way::Barrier;
-                    self.decided = Some(if barrier { newest + 1 } else { named });
+                    let proposed = self.proposed.unwrap_or(0);
+                    let barrier = self.protocol == Protocol::Barrier;
+                    self.decided = Some(if barrier { newest + 1 } else { proposed });
                     self.tick_control();
                 }
             }
-            Note::Refused(named) if self.named == Some(named) && self.decided.is_none() => {
-                self.named = None;
+            Message::Refused(step) if self.proposed == Some(step) && self.decided.is_none() => {
+                self.proposed = None;
                 self.control = Some(BTreeMap::new());
             }
-            Note::Heard(rank) => {
-                self.heard.insert(rank);
+            Message::Acknowledged(rank) => {
+                self.acknowledged.insert(rank);
             }
-            Note::Ask(rank) => {
-                let note = self.decided.map_or(Note::Plain, Note::Decided);
+            Message::Query(rank) => {
+                let reply = self.decided.map_or(Message::KeepMap, Message::Decided);
                 if self.decided.is_none() {
                     self.control.iter_mut().for_each(|a| {
                         a.remove(&rank);
                     });
                 }
-                self.send(Process::Control, Process::Rank(rank), note);
+                self.send(Process::Control, Process::Rank(rank), reply);
             }
             _ => {}
         }
     }
 
-    fn deliver_rank(&mut self, number: u16, note: Note) {
+    fn deliver_rank(&mut self, number: u16, message: Message) {
         let process = Process::Rank(number);
         let rank = &mut self.ranks[usize::from(number)];
-        let answer = match (note, rank.told) {
-            (Note::Arm(_), Told::Decided(_) | Told::Nothing) => None,
-            (Note::Arm(named), _) if self.way == Way::TwoPhase && rank.step >= named => {
-                Some(Note::Refused(named))
+        let reply = match (message, rank.instruction) {
+            (Message::Arm(_), Instruction::Decided(_) | Instruction::Unknown) => None,
+            (Message::Arm(proposed), _)
+                if self.protocol == Protocol::TwoPhase && rank.step >= proposed =>
+            {
+                Some(Message::Refused(proposed))
             }
-            (Note::Arm(named), _) => {
-                rank.told = Told::Armed(named);
-                Some(Note::Armed(number, rank.step))
+            (Message::Arm(proposed), _) => {
+                rank.instruction = Instruction::Armed(proposed);
+                Some(Message::Armed(number, rank.step))
             }
-            (Note::Decided(step), _) => {
-                rank.told = Told::Decided(step);
-                Some(Note::Heard(number))
+            (Message::Decided(step), _) => {
+                rank.instruction = Instruction::Decided(step);
+                Some(Message::Acknowledged(number))
             }
-            (Note::Plain, Told::Nothing) => {
-                rank.told = Told::Plain;
+            (Message::KeepMap, Instruction::Unknown) => {
+                rank.instruction = Instruction::KeepMap;
                 None
             }
             _ => None,
         };
-        if let Some(answer) = answer {
-            self.send(process, Process::Control, answer);
+        if let Some(reply) = reply {
+            self.send(process, Process::Control, reply);
         }
     }
 
-    /// Starts the next step on all ranks that do not hold it.
+    /// Starts the next step on all ranks that are ready and may run it.
     fn start_ranks(&mut self) {
         let step = self.ranks.iter().map(|r| r.step).max().unwrap_or(0);
         let step = if self.started.is_empty() {
@@ -348,12 +368,14 @@
             step
         };
         for (number, rank) in (0..).zip(&mut self.ranks) {
-            let may = match rank.told {
-                Told::Nothing => false,
-                Told::Plain | Told::Decided(_) => true,
-                Told::Armed(named) => self.way == Way::TwoPhase && step < named,
+            let may_run = match rank.instruction {
+                Instruction::Unknown => false,
+                Instruction::KeepMap | Instruction::Decided(_) => true,
+                Instruction::Armed(proposed) => {
+                    self.protocol == Protocol::TwoPhase && step < proposed
+                }
             };
-            if rank.alive && rank.ready && !rank.running && may {
+            if rank.alive && rank.ready && !rank.running && may_run {
                 rank.step = step;
                 rank.running = true;
                 self.started.insert(number);
@@ -369,7 +391,7 @@
         if self.started.len() < usize::from(RANKS) || self.ranks.iter().any(|r| !r.alive) {
             return;
         }
-        self.longest = self.longest.max(self.now.since(self.last_step));
+        self.longest_gap = self.longest_gap.max(self.now.since(self.last_step));
         self.last_step = self.now;
         self.started.clear();
         self.ranks.iter_mut().for_each(|r| r.running = false);
--- a/dev/bench/src/target.rs
+++ b/dev/bench/src/target.rs
@@ -1,20 +1,20 @@
-//! Names and declarations of the size that the deployment is designed for.
+//! Names and declarations at the size that the deployment is designed for.
 
 use pimentotide_model::{
     Announcement, Declarations, Fence, Incarnation, Profile, ProfileName, Revision, Service,
     ServiceKind, ServiceName, UpstreamName, Workspace, WorkspaceName,
 };
 
-/// Upstreams of the target.
+/// Number of upstreams at the design size.
 pub const UPSTREAMS: usize = 3_300;
-/// Models of the target.
+/// Number of models at the design size.
 pub const MODELS: usize = 26;
-/// Workspaces of the target.
+/// Number of workspaces at the design size.
 pub const WORKSPACES: usize = 420;
-/// Availability zones of the target.
+/// Number of availability zones at the design size.
 pub const ZONES: usize = 18;
 
-/// What the agent of upstream `i` announces.
+/// Announcement by the agent of upstream `i`.
 pub fn announcement(i: usize) -> Announcement {
     Announcement {
         upstream: UpstreamName::from(format!("drafting-{i:04}")),
@@ -33,12 +33,12 @@
     }
 }
 
-/// Name of the service of model `i`.
+/// Name of the service that model `i` serves.
 pub fn service(i: usize) -> ServiceName {
     ServiceName::from(format!("service-{i:04}"))
 }
 
-/// Declarations with so many profiles, each with its service, and so many workspaces.
+/// Declarations with `profiles` profiles, one service each, and `workspaces` workspaces.
 pub fn declarations(profiles: usize, workspaces: usize) -> Declarations {
     let mut declarations = Declarations {
         revision: Revision(1_200_000),
