--- a/dev/rig/src/caller.rs
+++ b/dev/rig/src/caller.rs
@@ -131,7 +131,7 @@
     /// Starts the load.
     pub(crate) fn spawn(options: &Options, entries: Vec<SocketAddr>, zones: Vec<String>) -> Self {
         // An early close must not be mistaken for the end of an answer.
-        let connector = whole_connector(CONNECT_TIMEOUT).limit(4096);
+        let connector = strict_eof_connector(CONNECT_TIMEOUT).limit(4096);
         let client = Client::builder()
             .connector(connector)
             .disable_timeout()
--- a/dev/rig/src/deployment.rs
+++ b/dev/rig/src/deployment.rs
@@ -70,7 +70,7 @@
             let status = self.status().await.unwrap_or_default();
             let count = |key: &str| status[key].as_array().map_or(0, Vec::len);
             let mut processes = self.processes.iter_mut();
-            let exited = processes.find_map(|(name, (p, _))| p.has_ended().then_some(name));
+            let exited = processes.find_map(|(name, (p, _))| p.has_exited().then_some(name));
             if let Some(name) = exited {
                 // Another deployment on the same addresses would answer the status request instead.
                 return Err(format!("{name} has exited; are its addresses in use?"));
