--- a/app/src/options/help.rs
+++ b/app/src/options/help.rs
@@ -17,7 +17,7 @@
 Operators:
   profile      Apply, compare, show and list profiles
   service      Set, list and remove services
-  zone         Open or close an availability zone
+  zone         Put an availability zone into or out of service
   upstream     Put an upstream into or out of service
   replica      Add, list and remove control replicas
   group        Show groups of ranks, pause and resume rebalancing
