--- a/decision/fleet/src/balancer.rs
+++ b/decision/fleet/src/balancer.rs
@@ -6,7 +6,7 @@
 //! share of its rate limit.
 //!
 //! With many entries, a load report is stale by the time the entry sends to that
-//! upstream again, and all entries choose the same upstreams that once were idle.
+//! upstream again, and all entries choose the same upstreams that were last reported idle.
 //! So each entry prefers a deterministic subset of equal size, adjacent in the
 //! order of names, and uses other upstreams only once its subset is full.
 
@@ -24,15 +24,19 @@
 const ZONE_PENALTY: f64 = 0.02;
 /// Upper bound of the random load that keeps entries from making the same choice.
 const MAX_JITTER: f64 = 0.04;
-/// Entries whose subsets hold the same upstream, so that a busy entry can use the room left by others.
+/// Number of entries whose subsets contain the same upstream.
+///
+/// With more than one, a busy entry can use capacity that the others leave free.
 const ENTRIES_PER_UPSTREAM: usize = 3;
-/// Upstreams in the subset of an entry, at least.
+/// Minimum number of upstreams in the subset of an entry.
 const MIN_SUBSET_SIZE: usize = 4;
-/// Part of a service's upstreams that may be ejected at once; beyond it none is avoided.
+/// Largest part of a service's upstreams that is avoided after ejection.
+///
+/// If more are ejected, ejections are ignored, because the cause lies elsewhere.
 const MAX_EJECTED_RATIO: f64 = 0.4;
 /// Time for which an upstream is avoided after it refused a request because it was full.
 const FULL_BACKOFF: Duration = Duration::from_millis(100);
-/// Smallest and largest burst that an entry may send to a cold upstream, requests.
+/// Smallest and largest burst that an entry may send to a cold upstream, in requests.
 const COLD_BURST_RANGE: (f64, f64) = (1.0, 2.0);
 /// Part of the capacity that is left beside the usual load.
 const SPARE_RATIO: f64 = 0.4;
@@ -263,7 +267,7 @@
     /// Applies the whole shared state without reporting changes; see [`update`](Self::update).
     pub fn update_from_state(&mut self, state: &FleetState, now: Time) {
         let records: Vec<Record> = state.upstreams().values().cloned().collect();
-        // Changes are reported only by callers that follow the state.
+        // Events are needed only by callers that follow every change of the state.
         let _ = self.update(state.closed().clone(), records, now);
     }
 
@@ -319,48 +323,48 @@
     where
         R: Rng,
     {
-        let mut fit: Vec<&mut Upstream> = self
+        let mut eligible: Vec<&mut Upstream> = self
             .upstreams
             .values_mut()
             .filter(|u| u.record.announcement.service == *request.service)
             .filter(|u| u.record.announcement.stage == Stage::Ready && !u.gone)
             .filter(|u| !self.closed.contains(&u.record.announcement.zone))
             .collect();
-        if fit.is_empty() {
+        if eligible.is_empty() {
             return Err(Refusal::Empty);
         }
-        // The subset comes first; taken before other filters so that all entries divide the same list.
+        // Moves the subset to the front before other filters, so that all entries divide the same list.
         let (start, subset) = (
-            self.position.subset_start(fit.len()),
-            self.position.subset_size(fit.len()),
+            self.position.subset_start(eligible.len()),
+            self.position.subset_size(eligible.len()),
         );
-        fit.rotate_left(start);
+        eligible.rotate_left(start);
         let is_new = |u: &Upstream| !request.tried.contains(&u.record.announcement.upstream);
-        if fit.iter().any(|u| is_new(u)) {
-            fit.retain(|u| is_new(u));
+        if eligible.iter().any(|u| is_new(u)) {
+            eligible.retain(|u| is_new(u));
         }
-        let ejected = fit.iter().filter(|u| u.is_ejected(now)).count();
-        if ejected < fit.len() && ejected as f64 <= fit.len() as f64 * MAX_EJECTED_RATIO {
-            fit.retain(|u| !u.is_ejected(now));
+        let ejected = eligible.iter().filter(|u| u.is_ejected(now)).count();
+        if ejected < eligible.len() && ejected as f64 <= eligible.len() as f64 * MAX_EJECTED_RATIO {
+            eligible.retain(|u| !u.is_ejected(now));
         }
-        fit.retain_mut(|u| !u.is_saturated(now));
-        if fit.is_empty() {
+        eligible.retain_mut(|u| !u.is_saturated(now));
+        if eligible.is_empty() {
             return Err(Refusal::Cold);
         }
         let queue = self.options.queue;
         let has_room = |u: &Upstream| {
             now >= u.full_until && u.outstanding() < f64::from(u.slots()) * (1.0 + queue)
         };
-        if fit.iter().any(|u| has_room(u)) {
-            fit.retain(|u| has_room(u));
+        if eligible.iter().any(|u| has_room(u)) {
+            eligible.retain(|u| has_room(u));
         } else if !request.may_queue {
             return Err(Refusal::Full);
         }
         let is_free = |u: &&mut Upstream| u.outstanding() < f64::from(u.slots());
-        if fit.iter().take(subset).any(is_free) {
-            fit.truncate(subset);
+        if eligible.iter().take(subset).any(is_free) {
+            eligible.truncate(subset);
         }
-        let candidates = fit.len();
+        let candidates = eligible.len();
         let zone = &self.options.zone;
         let mut score = |u: &Upstream| {
             let penalty = if u.record.announcement.zone == *zone {
@@ -370,7 +374,7 @@
             };
             u.outstanding() / f64::from(u.slots()) + penalty + rng.random_range(0.0..MAX_JITTER)
         };
-        let scored = fit.into_iter().map(|u| (score(u), u));
+        let scored = eligible.into_iter().map(|u| (score(u), u));
         let best = scored.min_by(|a, b| a.0.total_cmp(&b.0));
         let Some((_, upstream)) = best else {
             return Err(Refusal::Empty);
@@ -406,7 +410,8 @@
     }
 }
 
-/// Burst and rate per second of one of `entries` entries for a cold upstream limited to `rate`.
+/// Returns the burst and the requests per second that one of `entries` entries may send to a
+/// cold upstream limited to `rate` requests per second.
 fn cold_share(rate: f64, entries: usize) -> (f64, f64) {
     let share = rate * COLD_RATIO / entries as f64;
     (share.clamp(COLD_BURST_RANGE.0, COLD_BURST_RANGE.1), share)
--- a/decision/fleet/src/retry.rs
+++ b/decision/fleet/src/retry.rs
@@ -5,9 +5,9 @@
 use derive_more::Display;
 use pimentotide_model::{ErrorKind, Time};
 
-/// Sends of one request that provably did not run, after which it is not retried.
+/// Maximum number of sends that provably did not run before a request is no longer retried.
 const MAX_NOT_RUN: u32 = 3;
-/// Time left before the deadline below which a request is not sent.
+/// Minimum time left before the deadline for a request to be sent.
 const MIN_TIME_LEFT: Duration = Duration::from_millis(40);
 
 /// How a send ended.
--- a/decision/fleet/src/state.rs
+++ b/decision/fleet/src/state.rs
@@ -13,9 +13,9 @@
 use pimentotide_model::{ServiceName, Time, UpstreamName, ZoneName};
 use serde::{Deserialize, Serialize};
 
-/// Departed upstreams kept so that their late announcements are recognised as stale.
+/// Maximum number of departed upstreams kept; their late announcements are recognised as stale.
 const MAX_DEPARTED: usize = 1_024;
-/// Stands for a command or reply that fails to encode; decoded as [`Reply::Malformed`].
+/// Used in place of a command or reply that fails to encode; leads to [`Reply::Malformed`].
 const EMPTY_ENCODING: Vec<u8> = Vec::new();
 
 /// Whether an upstream accepts new work.
@@ -150,6 +150,7 @@
     departed: BTreeMap<UpstreamName, (u64, u64)>,
     /// Log index of the last change to zones or upstreams.
     revision: u64,
+    /// Log time of the last command applied.
     now: Time,
     /// Entries that share the limits; 0 until the first record.
     entries: u32,
@@ -191,14 +192,14 @@
             .is_none_or(|record| differs(&record.announcement, announcement))
     }
 
-    /// Whether a newer announcement or a later start replaces the announcement.
+    /// Whether a newer announcement, a departure or a later start at the address supersedes it.
     pub fn is_stale(&self, announcement: &Announcement) -> bool {
         if let Some(record) = self.upstreams.get(&announcement.upstream) {
             let latest = (record.announcement.born, record.announcement.sequence);
             return (announcement.born, announcement.sequence) < latest;
         }
-        let left = self.departed.get(&announcement.upstream);
-        left.is_some_and(|(born, _)| announcement.born <= *born)
+        let departure = self.departed.get(&announcement.upstream);
+        departure.is_some_and(|(born, _)| announcement.born <= *born)
             || self
                 .address_owner(announcement)
                 .is_some_and(|r| r.announcement.born > announcement.born)
@@ -215,9 +216,9 @@
 
     fn declare(&mut self, index: u64, version: u64, document: Arc<[u8]>) -> Reply {
         match &self.declared {
-            Some(held) if version < held.version => Reply::NotNewer,
-            Some(held) if version == held.version && document == held.document => Reply::NotNewer,
-            Some(held) if version == held.version => Reply::Conflict,
+            Some(old) if version < old.version => Reply::NotNewer,
+            Some(old) if version == old.version && document == old.document => Reply::NotNewer,
+            Some(old) if version == old.version => Reply::Conflict,
             _ => {
                 self.declared = Some(Declared {
                     version,
@@ -306,7 +307,7 @@
 
 /// Whether a later announcement of the same upstream changes anything that entries act on.
 ///
-/// The cold time that counts down is no such change.
+/// A cold time that only decreases has no effect until it reaches 0.
 fn differs(old: &Announcement, new: &Announcement) -> bool {
     let became_cold = new.cold_ms > old.cold_ms;
     let became_warm = old.cold_ms > 0 && new.cold_ms == 0;
--- a/decision/fleet/src/stop.rs
+++ b/decision/fleet/src/stop.rs
@@ -8,7 +8,8 @@
 
 /// Time after the signal for which requests are accepted.
 ///
-/// Cutting a request that arrived more than 3 s after the signal counts as a fault on the platform.
+/// The platform counts it as a fault if a request that arrived more than 3 s after the
+/// signal is cut.
 const ACCEPT_PERIOD: Duration = Duration::from_millis(2_900);
 /// Part of the grace period after which the process exits even with requests in flight.
 ///
--- a/decision/fleet/src/upstream.rs
+++ b/decision/fleet/src/upstream.rs
@@ -54,7 +54,7 @@
     pub(crate) full_until: Time,
     pub(crate) cold: Option<Cold>,
     reported: Option<(Load, Time)>,
-    /// Requests sent less requests ended by this entry since the last load report.
+    /// Requests sent minus requests ended by this entry since the last load report.
     sent_since_report: i64,
     /// Decayed number of good outcomes.
     good: f64,
--- a/decision/fleet/tests/it/balancer.rs
+++ b/decision/fleet/tests/it/balancer.rs
@@ -199,8 +199,8 @@
 
 /// After a restart of all processes, replicas report too few entries for a while.
 ///
-/// Guards against exceeding the cold limit meanwhile: with one cold upstream announced, it got 65
-/// requests in a second.
+/// Guards against exceeding the cold limit meanwhile: with a single cold upstream announced, that
+/// upstream received 65 requests in a second.
 #[test]
 fn entry_count_that_is_too_low_at_first_keeps_the_cold_limit() {
     let mut counts = vec![EntryCount::new(at(0)); 9];
