--- a/decision/routing/src/gate/credit.rs
+++ b/decision/routing/src/gate/credit.rs
@@ -63,6 +63,7 @@
     pub(super) entry: InstanceName,
     pub(super) service: ServiceName,
     pub(super) workspace: WorkspaceName,
+    /// Index in the entry's list of pending demands.
     position: usize,
 }
 
--- a/decision/routing/src/gate/mod.rs
+++ b/decision/routing/src/gate/mod.rs
@@ -3,8 +3,8 @@
 //! A slot is free while the allowance exceeds the running requests plus the
 //! leased credits. A request without a credit takes a free slot or is refused
 //! without having run. Entries with queued requests report their demand, and
-//! each freed slot is leased to the first demand in order as a credit. A credit
-//! that expires frees its slot.
+//! each freed slot is leased as a credit to one demand, selected by priority,
+//! fair share and deadline. A credit that expires frees its slot.
 //!
 //! Work of an earlier incarnation counts until it completes, because a request
 //! admitted just before a restart may reach the new process.
@@ -35,7 +35,7 @@
 const SMOOTHING_FACTOR: f64 = 0.2;
 /// The allowance counts as in use when at least one in this many slots is taken.
 const IN_USE_DIVISOR: u32 = 2;
-/// First tokens that have to be overdue at once to lower the allowance.
+/// Number of first tokens that must be overdue at the same time to lower the allowance.
 const MIN_OVERDUE: usize = 2;
 
 /// Initial state of a gate.
@@ -85,7 +85,7 @@
         self.incarnation
     }
 
-    /// Consumes the permit.
+    /// Consumes the permit; returns its identifier and incarnation.
     fn into_parts(self) -> (u64, Incarnation) {
         (self.id, self.incarnation)
     }
@@ -134,12 +134,12 @@
     first_token: bool,
 }
 
-/// Admission gate of one upstream.
+/// Admission gate of one upstream; smoothed times in microseconds.
 #[derive(Debug)]
 pub struct Gate {
     incarnation: Incarnation,
     policy: GatePolicy,
-    rules_revision: Revision,
+    min_revision: Revision,
     warmup: Warmup,
     running: BTreeMap<u64, Running>,
     per_service: BTreeMap<ServiceName, u32>,
@@ -161,7 +161,7 @@
         let limit = settings.policy.limit(settings.capacity);
         Self {
             incarnation: settings.incarnation,
-            rules_revision: settings.policy.revision,
+            min_revision: settings.policy.revision,
             policy: settings.policy,
             warmup: Warmup::open(start, limit, now),
             running: BTreeMap::new(),
@@ -178,7 +178,7 @@
         }
     }
 
-    /// Applies a policy, unless the current one is newer.
+    /// Applies a policy, unless the current one is newer; returns the credits for freed slots.
     ///
     /// An upstream that returns to service restarts slow start, because its
     /// caches may be cold.
@@ -187,7 +187,7 @@
             return Vec::new();
         }
         if !policy.same_rules(&self.policy) {
-            self.rules_revision = policy.revision;
+            self.min_revision = policy.revision;
         }
         self.warmup
             .resize(policy.slow_start.clone(), policy.limit(capacity));
@@ -205,7 +205,7 @@
         self.lease_expiry = self.lease_expiry.max(until);
     }
 
-    /// Refuses new work from now on; running requests complete.
+    /// Refuses new work from now on and revokes all credits; running requests complete.
     pub fn drain(&mut self) {
         self.draining = true;
         self.credits.clear();
@@ -217,7 +217,7 @@
         self.warmup.restart(now);
     }
 
-    /// Restarts slow start for a newer incarnation.
+    /// Restarts slow start and revokes all credits, if `incarnation` is newer.
     pub fn restart(&mut self, incarnation: Incarnation, now: Time) {
         if incarnation <= self.incarnation {
             return;
@@ -367,10 +367,10 @@
         self.warmup.allowance().saturating_sub(self.running())
     }
 
-    /// Checks standing, leases, limits and room, in that order.
+    /// Checks state, lease, revision, deadline, limits and room, in that order.
     fn check(&mut self, request: &Admission, now: Time) -> Result<(), ErrorKind> {
         self.check_standing(now, self.policy.lapse_of(&request.service))?;
-        if request.revision < self.rules_revision {
+        if request.revision < self.min_revision {
             return Err(ErrorKind::StaleRevision);
         }
         if request.remaining.is_zero() {
@@ -468,7 +468,7 @@
         grants
     }
 
-    /// Grants one slot to the first demand in order whose service has room.
+    /// Grants one slot to the next demand whose service has room.
     fn grant(&mut self, now: Time) -> Option<Grant> {
         let lapsed = now > self.lease_expiry;
         let admissible = |service: &ServiceName| {
--- a/decision/routing/src/gate/policy.rs
+++ b/decision/routing/src/gate/policy.rs
@@ -64,7 +64,7 @@
         policy
     }
 
-    /// Returns the concurrency limit of a warm upstream of `capacity` requests.
+    /// Returns the concurrency limit of a warm upstream that can run `capacity` requests.
     pub fn limit(&self, capacity: u32) -> u32 {
         let unbounded =
             self.services.is_empty() || self.services.values().any(|s| s.concurrency.is_none());
--- a/decision/routing/src/gate/share.rs
+++ b/decision/routing/src/gate/share.rs
@@ -10,6 +10,7 @@
 /// Start-time fair queueing state of all active workspaces.
 #[derive(Debug, Default)]
 pub(crate) struct Shares {
+    /// Virtual time at which the last slot of each workspace ends.
     finish: BTreeMap<WorkspaceName, u64>,
     virtual_time: u64,
 }
--- a/decision/routing/src/gate/warmup.rs
+++ b/decision/routing/src/gate/warmup.rs
@@ -43,10 +43,12 @@
     start: SlowStart,
     limit: u32,
     allowance: u32,
+    /// Completions counted towards the next raise of the allowance.
     successes: u32,
     started_at: Time,
     now: Time,
     halved_at: Option<Time>,
+    /// Estimated 90th percentile of first-token times, microseconds.
     baseline: f64,
     samples: u32,
     slow_streak: u32,
@@ -73,7 +75,7 @@
         warmup
     }
 
-    /// Requests that may run at once for now.
+    /// Number of requests that may currently run at once.
     pub fn allowance(&self) -> u32 {
         self.allowance.min(self.ramp())
     }
@@ -100,7 +102,7 @@
         self.failure_streak = 0;
     }
 
-    /// Replaces the slow start and the limit; the allowance stays within them.
+    /// Replaces the slow-start settings and the limit, and clamps the allowance to them.
     pub fn resize(&mut self, start: SlowStart, limit: u32) {
         self.start = start;
         self.limit = limit;
--- a/decision/routing/src/health.rs
+++ b/decision/routing/src/health.rs
@@ -52,10 +52,15 @@
 pub struct Health {
     state: HealthState,
     in_flight: u32,
+    /// Consecutive failures.
     failures: u32,
+    /// Past ejections that count towards the backoff.
     ejections: u32,
+    /// Successes that count towards the decay of `ejections`.
     successes: u32,
+    /// Time of the last progress, or of the first request sent while none was in flight.
     progress_at: Time,
+    /// Smoothed interval between progress events.
     progress_gap: Duration,
 }
 
@@ -99,7 +104,7 @@
         self.progress_at = now;
     }
 
-    /// Records a complete answer, or a refusal, which proves the upstream reachable.
+    /// Records a complete answer.
     pub fn record_success(&mut self, now: Time) {
         self.in_flight = self.in_flight.saturating_sub(1);
         self.record_progress(now);
@@ -114,7 +119,7 @@
         }
     }
 
-    /// Records the end of a request that is neither success nor failure.
+    /// Records an end that is neither success nor failure, such as a refusal or a cancellation.
     pub fn record_neutral(&mut self) {
         self.in_flight = self.in_flight.saturating_sub(1);
     }
--- a/decision/routing/src/lib.rs
+++ b/decision/routing/src/lib.rs
@@ -2,8 +2,8 @@
 //!
 //! The [`Gate`] runs in the agent beside each upstream and alone decides how
 //! many requests run there, over all entries. The [`Placer`] runs in each entry
-//! and chooses an upstream from load reports that may be stale; a wrong choice
-//! costs one refusal that is guaranteed not to have run. An entry also has a
+//! and chooses an upstream from load reports that may be stale. A wrong choice
+//! costs one refusal; a refused request has not run. An entry also has a
 //! [`FairQueue`] per service, a [`RetryBudget`] and the [`Health`] of each
 //! upstream. [`advise`] orders the entry addresses for a caller.
 
--- a/decision/routing/src/placer/directory.rs
+++ b/decision/routing/src/placer/directory.rs
@@ -1,4 +1,4 @@
-//! Announced upstreams of an entry, by slot number, name and group, with their
+//! Upstreams announced to an entry, by slot number, name and group, with their
 //! total load by zone.
 
 use std::collections::BTreeMap;
@@ -16,7 +16,7 @@
     token_gap: u64,
 }
 
-/// Announced upstreams of an entry.
+/// Upstreams announced to an entry.
 #[derive(Debug, Default)]
 pub(super) struct Directory {
     slots: Vec<Option<Slot>>,
@@ -26,6 +26,7 @@
     groups: Vec<Group>,
     group_names: BTreeMap<GroupName, u32>,
     usage: Vec<Usage>,
+    /// Indexes into `usage`, by zone (`None` for all zones) and whether the kind is plain.
     domains: BTreeMap<(Option<ZoneName>, bool), u32>,
 }
 
@@ -37,7 +38,7 @@
     allowance: f64,
 }
 
-/// MeanLoad load per unit of allowance.
+/// Mean load per unit of allowance.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct MeanLoad {
     /// Requests of this entry.
@@ -229,7 +230,7 @@
         slot.group.map_or(0, |g| self.groups[g as usize].token_gap)
     }
 
-    /// Returns the indexes of the usages that include an upstream: all zones, its zone.
+    /// Returns the indexes of the two usages that include an upstream: of all zones and of its zone.
     fn domains(&mut self, announcement: &Announcement) -> [u32; 2] {
         let plain = announcement.kind == ServiceKind::Plain;
         let zone = announcement.zone.clone();
@@ -257,7 +258,7 @@
     }
 }
 
-/// Adds the load of an upstream, times `sign`, to the usages that include it.
+/// Adds the load of an upstream, multiplied by `sign`, to the usages that include it.
 fn add_usage(usage: &mut [Usage], slot: &Slot, sign: f64) {
     for domain in slot.domains {
         usage[domain as usize].add(slot, sign);
--- a/decision/routing/src/placer/mod.rs
+++ b/decision/routing/src/placer/mod.rs
@@ -37,7 +37,7 @@
 use selection::{ScoredSlot, Selection, Shortlist};
 use slot::Slot;
 
-/// Largest share of a service's upstreams that may be ejected at once.
+/// Largest share of the upstreams of a pool that may be ejected at once.
 const MAX_EJECTED_RATIO: f64 = 0.5;
 
 /// Settings of a placer.
@@ -210,7 +210,7 @@
         Placement::Chosen(self.reserve(meta, &shortlist, reason, None, now))
     }
 
-    /// Assigns a request to the upstream that granted a credit, if that can serve it.
+    /// Assigns a request to the upstream that granted a credit; `None` if that cannot serve it.
     pub fn redeem(
         &mut self,
         meta: &RequestMeta,
@@ -240,7 +240,7 @@
         Some(self.reserve(meta, &shortlist, Reason::Credit, Some(credit), now))
     }
 
-    /// Records progress of a placed request: any token.
+    /// Records progress of a placed request, such as a token.
     pub fn progress(&mut self, ticket: &Ticket, now: Time) {
         if let Some(slot) = self.reserved_slot(ticket.0) {
             slot.health.record_progress(now);
@@ -306,7 +306,7 @@
         index
     }
 
-    /// Updates the pools that contain an upstream.
+    /// Moves an upstream to the pools that accept it, or to none if it accepts no work.
     fn update_pools(&mut self, index: u32) {
         self.pools.remove(index);
         let Some(slot) = self.directory.slot(index) else {
@@ -354,7 +354,7 @@
         Failure::new(ErrorKind::NoUpstream, detail)
     }
 
-    /// Reserves room for a request on the first of the shortlist.
+    /// Counts a request as in flight on the first of the shortlist and indexes its blocks there.
     fn reserve(
         &mut self,
         meta: &RequestMeta,
--- a/decision/routing/src/placer/pool.rs
+++ b/decision/routing/src/placer/pool.rs
@@ -15,7 +15,7 @@
 const STEP_PENALTY: f64 = 0.25;
 /// Largest number of steps of distance that are penalized.
 const MAX_STEPS: usize = 2;
-/// Largest number of pools kept per service.
+/// Largest number of pools kept per service; a further one replaces the newest.
 const MAX_POOLS: usize = 64;
 
 /// Upstreams of one zone.
@@ -73,7 +73,7 @@
         None
     }
 
-    /// Draws an upstream from all zones at random.
+    /// Draws a random upstream from all zones.
     pub(super) fn draw<R>(&self, rng: &mut R) -> Option<(u32, f64)>
     where
         R: Rng,
@@ -84,7 +84,7 @@
         self.nth(rng.random_range(0..self.total))
     }
 
-    /// Draws an upstream from the nearest zone that has any at random.
+    /// Draws a random upstream from the nearest zone that has any.
     pub(super) fn draw_near<R>(&self, rng: &mut R) -> Option<(u32, f64)>
     where
         R: Rng,
@@ -289,7 +289,10 @@
         .any(|(m, v)| Some(m) == model && version.is_none_or(|wanted| wanted == v))
 }
 
-/// Returns the distance of `zone` in steps: its preference, then whether it is the own zone.
+/// Returns the distance of `zone` in steps.
+///
+/// Preferred zones are ordered by their rank. All others follow; unless requests are
+/// spread evenly, the entry's own zone is one step nearer than the rest.
 fn distance(zone: &ZoneName, policy: &ZonePolicy, own_zone: &ZoneName) -> usize {
     if let Some(index) = policy.prefer.iter().position(|z| z == zone) {
         return index;
--- a/decision/routing/src/placer/prefix.rs
+++ b/decision/routing/src/placer/prefix.rs
@@ -3,7 +3,7 @@
 //! Cache events arrive late, out of order and with gaps. Events that arrive
 //! early are buffered until the missing ones arrive; while a gap remains, a
 //! snapshot is requested. Requests that this entry places add their blocks as
-//! well. A wrong entry costs one prefill; `Slot::hit_confidence` discounts
+//! well. A wrong record costs one prefill; `Slot::hit_confidence` discounts
 //! expected hits by the accuracy of earlier ones.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
@@ -93,9 +93,13 @@
 #[derive(Debug, Default)]
 struct EventFeed {
     incarnation: Incarnation,
+    /// Sequence number of the last event applied.
     applied: u64,
+    /// Changes by sequence number that wait for earlier events.
     buffered: BTreeMap<u64, CacheChange>,
+    /// Time of the last snapshot request for the current gap.
     requested_at: Option<Time>,
+    /// Blocks in the order of their addition; may include blocks removed since.
     blocks: VecDeque<u64>,
 }
 
@@ -210,6 +214,8 @@
     }
 
     /// Returns the length of the longest leading part whose last block satisfies `test`.
+    ///
+    /// Uses a binary search, which assumes that a cached block implies all preceding ones.
     fn depth<F>(&self, prefix: &[u64], test: F) -> u32
     where
         F: Fn(&Holders) -> bool,
--- a/decision/routing/src/placer/selection.rs
+++ b/decision/routing/src/placer/selection.rs
@@ -30,6 +30,7 @@
     pub(super) score: f64,
     pub(super) load: f64,
     pub(super) allowance: u32,
+    /// Leading blocks of the prompt expected in its cache.
     pub(super) hit: u32,
 }
 
@@ -147,7 +148,7 @@
         room && !refused && slot.health.admits(self.now)
     }
 
-    /// Scores the upstream in slot number `index`, whatever its room.
+    /// Scores the upstream in slot number `index`, even if it has no room.
     pub(super) fn evaluate(&self, index: u32, penalty: f64) -> Option<ScoredSlot> {
         let slot = self.directory.slot(index)?;
         let mean = self.directory.mean_load(slot, self.pool.is_zonal());
--- a/decision/routing/src/placer/slot.rs
+++ b/decision/routing/src/placer/slot.rs
@@ -8,7 +8,7 @@
 use super::directory::MeanLoad;
 use crate::health::Health;
 
-/// Largest number of changes of the own load kept per upstream.
+/// Largest number of changes of the entry's own load kept per upstream.
 const MAX_HISTORY: usize = 256;
 /// Weight of the latest verified hit in the hit confidence.
 const CONFIDENCE_WEIGHT: f64 = 0.1;
@@ -19,7 +19,9 @@
 #[derive(Debug)]
 pub(super) struct Slot {
     pub(super) announcement: Announcement,
+    /// Distinguishes upstreams that use the same slot number one after the other.
     pub(super) generation: u32,
+    /// Indexes of the usages of all zones and of its zone in the directory.
     pub(super) domains: [u32; 2],
     pub(super) health: Health,
     pub(super) group: Option<u32>,
@@ -27,7 +29,9 @@
     pub(super) hit_confidence: f64,
     reported_at: Option<Time>,
     in_flight: u32,
+    /// Requests of this entry in flight at the time of the report.
     reported_own: u32,
+    /// In-flight requests of this entry after each change, oldest first.
     history: VecDeque<(Time, u32)>,
 }
 
@@ -120,12 +124,12 @@
         own + expected + weight * (self.other_load() - expected)
     }
 
-    /// Returns the own requests above this entry's mean for an upstream of this allowance.
+    /// Returns by how much the requests of this entry exceed its mean for this allowance.
     pub(super) fn own_excess(&self, mean: MeanLoad) -> f64 {
         f64::from(self.in_flight) - mean.own * f64::from(self.allowance())
     }
 
-    /// Updates the hit confidence by an expected and a reported cache hit.
+    /// Updates the hit confidence from the expected and the actual number of cached blocks.
     pub(super) fn verify_hit(&mut self, expected: u32, cached: u32) {
         if expected == 0 {
             return;
@@ -142,7 +146,7 @@
         self.history.push_back((now, self.in_flight));
     }
 
-    /// Returns the own requests in flight at `time`, and drops the older history.
+    /// Returns the requests of this entry in flight at `time`, and drops the older history.
     fn in_flight_at(&mut self, time: Time) -> u32 {
         let later = self.history.partition_point(|(at, _)| *at <= time);
         if later == 0 {
--- a/decision/routing/src/queue/drain.rs
+++ b/decision/routing/src/queue/drain.rs
@@ -17,7 +17,9 @@
     interval: f64,
     answer: f64,
     samples: u32,
+    /// Start of the current interval: the last departure, or the start of the backlog.
     last_at: Time,
+    /// Whether requests remained in the queue after the last departure.
     backlog: bool,
 }
 
@@ -28,7 +30,7 @@
         self.backlog = false;
     }
 
-    /// Records a departure; `more` means that the queue is not empty yet.
+    /// Records a departure; `more` tells whether requests remain in the queue.
     ///
     /// Only intervals between two departures of the same backlog are samples.
     pub(super) fn record_departure(&mut self, more: bool, now: Time) {
--- a/decision/routing/src/queue/flow.rs
+++ b/decision/routing/src/queue/flow.rs
@@ -102,8 +102,8 @@
             .and_then(|(w, f)| position_of_last(w, f))
     }
 
-    /// Returns the last request of a workspace that would still have more requests
-    /// per weight than `workspace` with one more.
+    /// Returns the last request of the workspace with the most requests per weight, if
+    /// `workspace` would have fewer per weight even with one more.
     pub(super) fn over_share(&self, workspace: &WorkspaceName, weight: u32) -> Option<Position> {
         let own = self.flows.get(workspace).map_or(0, |f| f.items.len()) as u64 + 1;
         let last = self.last()?;
--- a/decision/routing/src/queue/mod.rs
+++ b/decision/routing/src/queue/mod.rs
@@ -54,7 +54,8 @@
     /// The queue is full.
     #[display("queue full")]
     Full,
-    /// The queue is full and another workspace is below its share.
+    /// The queue is full, and a request of higher priority or of a workspace with fewer
+    /// requests per weight replaced this one.
     #[display("over share")]
     OverShare,
     /// The request would miss its deadline.
@@ -165,7 +166,7 @@
         Some(queued)
     }
 
-    /// Returns a request to its former position after a refusal that was "not run".
+    /// Puts a request back at its former position after a refusal that was "not run".
     pub fn requeue(&mut self, queued: Queued<T>, now: Time) {
         self.drain.undo_departure(now);
         let weight = self.weight(&queued.workspace);
@@ -219,7 +220,7 @@
 
     /// Returns the demand to report to each of `agents`, one per workspace and priority.
     ///
-    /// It exceeds an even share per agent, because some have no room.
+    /// The count exceeds an even share per agent, because some agents have no room.
     pub fn demand(&self, agents: usize, now: Time) -> EntryDemand {
         let mut demand = EntryDemand::new();
         for (Reverse(priority), class) in &self.classes {
