--- a/decision/fleet/src/declaration.rs
+++ b/decision/fleet/src/declaration.rs
@@ -49,19 +49,19 @@
     pub kind: RouteKind,
     /// Time after which the request fails.
     pub timeout: Duration,
-    /// Latency up to which a response has its full value.
+    /// Target latency; a later response is worth less to the caller.
     pub target_latency: Duration,
     /// Priority of its requests; 0 is the highest.
     pub priority: u8,
     /// Services and their weights.
     pub split: Vec<(ServiceName, u32)>,
-    /// Upstreams that may run one request, at most.
+    /// Maximum number of upstreams that may run one request.
     pub attempts: u32,
     /// Whether callers need no key.
     pub public: bool,
     /// Whether an interrupted stream may resume at another upstream.
     pub resumable: bool,
-    /// Largest gap between events of a stream; `None` if there is no such target.
+    /// Target for the largest gap between events of a stream; `None` if there is none.
     pub max_gap: Option<Duration>,
 }
 
--- a/decision/fleet/src/members.rs
+++ b/decision/fleet/src/members.rs
@@ -16,7 +16,7 @@
 pub struct RepairOptions {
     /// Time without contact after which a member may be removed.
     pub max_silence: Duration,
-    /// Voters that must remain.
+    /// Number of voters down to which no voter is removed.
     pub min_voters: usize,
 }
 
--- a/decision/fleet/src/retry.rs
+++ b/decision/fleet/src/retry.rs
@@ -30,7 +30,7 @@
 pub struct Policy {
     /// Whether the request may run more than once.
     pub repeatable: bool,
-    /// Upstreams that may run the request, at most.
+    /// Maximum number of upstreams that may run the request.
     pub attempts: u32,
     /// Sends that may have run, including this one.
     pub ran: u32,
--- a/decision/fleet/tests/it/stop.rs
+++ b/decision/fleet/tests/it/stop.rs
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn short_grace_period_is_kept() {
+fn process_exits_within_a_short_grace_period() {
     let short = Duration::from_secs(2);
     assert_eq!(
         stop_phase(Duration::from_millis(1_100), 3, short),
--- a/decision/model/src/id.rs
+++ b/decision/model/src/id.rs
@@ -36,7 +36,7 @@
     Fence;
     /// Number of an upstream process start; a higher number is a newer process.
     Incarnation;
-    /// Identifier of the right to run one non-idempotent request once.
+    /// Identifier of a claim, the right to run one non-idempotent request once.
     ClaimId;
 }
 
--- a/decision/routing/src/gate/credit.rs
+++ b/decision/routing/src/gate/credit.rs
@@ -100,7 +100,7 @@
         let count = self
             .leased
             .values()
-            .filter(|h| h.service == *service)
+            .filter(|c| c.service == *service)
             .count();
         u32::try_from(count).unwrap_or(u32::MAX)
     }
@@ -131,7 +131,7 @@
     /// Removes the credits and demands of `entry`.
     pub(super) fn remove_entry(&mut self, entry: &InstanceName) {
         self.pending.remove(entry);
-        self.leased.retain(|_, h| h.entry != *entry);
+        self.leased.retain(|_, c| c.entry != *entry);
     }
 
     /// Removes a credit that its entry returned.
@@ -141,7 +141,7 @@
 
     /// Redeems a credit, unless it expired or belongs to another entry.
     pub(super) fn redeem(&mut self, credit: CreditId, entry: &InstanceName) {
-        let owned = self.leased.get(&credit).is_some_and(|h| h.entry == *entry);
+        let owned = self.leased.get(&credit).is_some_and(|c| c.entry == *entry);
         if owned {
             self.leased.remove(&credit);
         }
@@ -149,7 +149,7 @@
 
     /// Removes expired credits and demands.
     pub(super) fn expire(&mut self, now: Time) {
-        self.leased.retain(|_, h| h.expires_at > now);
+        self.leased.retain(|_, c| c.expires_at > now);
         self.pending.retain(|_, list| {
             list.retain(|p| p.expires_at > now && p.deadline > now && p.demand.count > 0);
             !list.is_empty()
@@ -165,7 +165,7 @@
 
     /// Returns the earliest expiry of a credit.
     pub(super) fn next_expiry(&self) -> Option<Time> {
-        self.leased.values().map(|h| h.expires_at).min()
+        self.leased.values().map(|c| c.expires_at).min()
     }
 
     /// Selects the next demand to serve: by priority, fair share, then deadline.
--- a/decision/routing/src/placer/selection.rs
+++ b/decision/routing/src/placer/selection.rs
@@ -128,7 +128,7 @@
     }
 
     fn add(&self, list: &mut Shortlist, slot: u32, penalty: f64) {
-        if list.iter().any(|w| w.slot == slot) {
+        if list.iter().any(|c| c.slot == slot) {
             return;
         }
         let Some(candidate) = self.evaluate(slot, penalty) else {
@@ -200,7 +200,7 @@
         if rest.is_empty() {
             return Reason::Only;
         }
-        let longest_hit = rest.iter().all(|w| w.hit < first.hit);
+        let longest_hit = rest.iter().all(|c| c.hit < first.hit);
         if longest_hit {
             Reason::Prefix
         } else {
--- a/decision/routing/tests/it/advice.rs
+++ b/decision/routing/tests/it/advice.rs
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn nearest_entries_come_first_without_stopping_or_silent_ones() {
+fn nearest_usable_entries_come_first() {
     let mut entries = entries();
     entries[0].stopping = true;
     entries[3].last_seen = at(1_000);
