--- a/decision/outcome/src/attempt.rs
+++ b/decision/outcome/src/attempt.rs
@@ -41,7 +41,7 @@
     Closed,
 }
 
-/// Claim that its agent is queried about.
+/// Claim whose agent is queried; `own` if this attempt sent it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Inquiry {
     held: ClaimRef,
@@ -115,7 +115,7 @@
     fn claimed(&mut self, place: Place, reply: Reply, now: Time) -> Vec<Action> {
         match reply {
             Reply::Granted(claim) => {
-                let held = self.held(claim);
+                let held = self.claim_ref(claim);
                 if self.timed_out || !self.caller_waiting {
                     return self.release(held, NotRun::Refused);
                 }
@@ -123,7 +123,7 @@
                 vec![Action::Send { held, place }]
             }
             Reply::Running { claim, place, .. } => {
-                let held = self.held(claim);
+                let held = self.claim_ref(claim);
                 let own = false;
                 self.inquire(Inquiry { held, place, own })
             }
@@ -438,7 +438,7 @@
         backoff.min(MAX_BACKOFF)
     }
 
-    fn held(&self, claim: ClaimId) -> ClaimRef {
+    fn claim_ref(&self, claim: ClaimId) -> ClaimRef {
         ClaimRef {
             workspace: self.intent.workspace.clone(),
             key: self.intent.key.clone(),
--- a/decision/outcome/src/claim.rs
+++ b/decision/outcome/src/claim.rs
@@ -112,14 +112,14 @@
 pub struct Outcome {
     /// HTTP status code.
     pub status: u16,
-    /// Header names and values in order; empty if the body was reduced.
+    /// Header names and values in order; empty unless the body is stored in full.
     pub headers: Vec<(String, String)>,
     /// Body, or what replaces it in the record.
     pub body: Body,
 }
 
 impl Outcome {
-    /// Returns the size in bytes that it takes up in a record.
+    /// Returns the size of headers and body in a record, in bytes.
     pub fn size(&self) -> u64 {
         let headers: usize = self.headers.iter().map(|(n, v)| n.len() + v.len()).sum();
         let body = match &self.body {
--- a/decision/outcome/src/journal.rs
+++ b/decision/outcome/src/journal.rs
@@ -75,7 +75,7 @@
         /// Whether the attempt ran to completion, which clears the content.
         finished: bool,
     },
-    /// Removes expired entries; other commands do so once a second.
+    /// Removes expired entries, which other commands do at most once a second.
     Expire,
 }
 
@@ -117,7 +117,9 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Journal {
     limits: Limits,
+    /// Number of the last granted claim.
     last: ClaimId,
+    /// Time of the last removal of expired entries.
     swept: Time,
     windows: BTreeMap<WorkspaceName, Window>,
     suspicion: Suspicion,
@@ -169,7 +171,7 @@
         }
     }
 
-    /// Returns the suspected contents, of which entries hold a copy.
+    /// Returns the suspected contents, which entries copy.
     pub fn suspicion(&self) -> &Suspicion {
         &self.suspicion
     }
--- a/decision/outcome/src/ledger.rs
+++ b/decision/outcome/src/ledger.rs
@@ -107,8 +107,11 @@
     incarnation: Incarnation,
     limits: LedgerLimits,
     claims: BTreeMap<ClaimId, ClaimState>,
+    /// Closed claims with the time of closing, oldest first.
     closed: VecDeque<(Time, ClaimId)>,
+    /// Size of the stored answers.
     bytes: u64,
+    /// Highest evicted claim; any unlisted claim up to it may have run.
     floor: ClaimId,
 }
 
@@ -196,7 +199,7 @@
         let running = self
             .claims
             .iter()
-            .filter(|(_, m)| **m == ClaimState::Running);
+            .filter(|(_, state)| **state == ClaimState::Running);
         let running: Vec<ClaimId> = running.map(|(claim, _)| *claim).collect();
         for claim in &running {
             self.close(*claim, ClaimState::Died, now);
--- a/decision/outcome/src/lib.rs
+++ b/decision/outcome/src/lib.rs
@@ -6,6 +6,9 @@
 //! send, inquiry and settlement with an [`Attempt`]. After any failure, the next
 //! entry that receives the key finds the claim and queries the agent about it.
 //!
+//! An entry is a process that receives requests from callers; an agent is a
+//! process that manages one upstream.
+//!
 //! An [`Assembly`] reorders streamed answers, and [`plan_resume`] resumes or
 //! ends a stream whose engine crashed. [`Liveness`] distinguishes the crash of
 //! an upstream from a lost connection, and [`Suspicion`] identifies by content
--- a/decision/outcome/src/suspicion.rs
+++ b/decision/outcome/src/suspicion.rs
@@ -2,10 +2,10 @@
 //!
 //! A crash that the agent survives makes every running request a suspect. A
 //! suspect waits until all entries have received the report, then runs on an
-//! upstream with no other suspect: a second crash identifies it, a success
-//! clears it. The loss of a whole instance counts only when it happens twice to
-//! the same content. Crashes of many upstreams of a zone at once are attributed
-//! to the zone, except for a content that ran on all of them.
+//! upstream with no other suspect. In this trial a second crash identifies it,
+//! and a success clears it. The loss of a whole instance counts only when it
+//! happens twice to the same content. Crashes of many upstreams of a zone at once
+//! are attributed to the zone, except for a content that ran on all of them.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
@@ -56,7 +56,7 @@
     pub upstream: UpstreamName,
     /// Incarnation that crashed.
     pub incarnation: Incarnation,
-    /// Zone of the upstream; `None` if the reporter lacks it.
+    /// Zone of the upstream; `None` if the reporter has no record of it.
     pub zone: Option<ZoneName>,
     /// Process that observed the crash.
     pub witness: Witness,
--- a/decision/outcome/src/window.rs
+++ b/decision/outcome/src/window.rs
@@ -1,10 +1,11 @@
 //! Bounded set of the keys of one workspace.
 //!
 //! A closed record keeps its answer until it is too old or the workspace exceeds
-//! its records or bytes; then a tombstone replaces it, which still prevents a
-//! second run. Tombstones are evicted by age, and earlier if there are too many
-//! keys, but not before the shortest retention: new keys are rejected instead.
-//! Generated keys keep no answer, since no retry can present them.
+//! its limit of records or bytes; then a tombstone replaces it, which still
+//! prevents a second run. Tombstones are evicted by age. If there are too many
+//! keys, the oldest tombstone is evicted earlier, but none before the shortest
+//! retention; new keys are rejected instead. Generated keys keep no answer, since
+//! no retry can present them.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -114,9 +115,12 @@
 pub(crate) struct Window {
     records: BTreeMap<IdempotencyKey, Record>,
     running: BTreeMap<ClaimId, IdempotencyKey>,
+    /// Closed records with the time of closing, oldest first.
     closed: VecDeque<(Time, IdempotencyKey)>,
+    /// Size of all recorded answers.
     bytes: u64,
     tombstones: BTreeMap<Fingerprint, Tombstone>,
+    /// Tombstones with the time of closing, oldest first.
     ages: VecDeque<(Time, Fingerprint)>,
 }
 
--- a/decision/outcome/tests/it/world.rs
+++ b/decision/outcome/tests/it/world.rs
@@ -84,19 +84,32 @@
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum Step {
     Deliver(usize),
+    /// The proposal is lost before it commits.
     DropProposal(usize),
+    /// The proposal commits, but its reply is lost.
     DropReply(usize),
+    /// The proposal times out at its entry and may still commit.
     Delay(usize),
+    /// The send arrives and is refused.
     Refuse(usize),
+    /// The connection breaks and the send is lost.
     DropSend(usize),
+    /// The connection breaks, but the send may still arrive.
     Sever(usize),
+    /// The inquiry receives no reply.
     Unreachable(usize),
+    /// The directory reports an agent that is down as lost.
     Withdraw(usize),
+    /// The directory reports an agent that is alive as lost.
     MisreportGone(usize),
+    /// The connection of a run breaks.
     Disconnect(usize, usize),
     Finish(usize, usize),
+    /// The upstream crashes and restarts under its agent.
     Crash(usize),
+    /// The agent restarts while its upstream continues.
     Restart(usize),
+    /// The agent and its upstream stop for good.
     Kill(usize),
     KillEntry(usize),
     Deadline(usize),
