--- a/decision/control/src/currency/watch.rs
+++ b/decision/control/src/currency/watch.rs
@@ -35,8 +35,8 @@
 impl Watch {
     /// Applies the answer to a request that was sent at `sent`.
     pub fn receive(&mut self, sent: Time, answer: &WatchAnswer) -> WatchOutcome {
-        let held = self.revision();
-        if self.configuration.is_some() && answer.revision < held {
+        let current = self.revision();
+        if self.configuration.is_some() && answer.revision < current {
             return WatchOutcome::Stale;
         }
         let Some(next) = self.build(answer) else {
--- a/decision/control/src/directory/registry.rs
+++ b/decision/control/src/directory/registry.rs
@@ -104,15 +104,15 @@
     /// Collects the changes since `mark`, or all upstreams if they are not retained.
     pub fn update_since(&self, mark: Option<Mark>, now: Time) -> RegistryUpdate {
         let current = self.mark(now);
-        let known = mark.filter(|m| self.can_follow(*m, current));
-        let after = known.map_or(0, |m| m.version);
+        let base = mark.filter(|m| self.can_follow(*m, current));
+        let after = base.map_or(0, |m| m.version);
         let present = self.members.values().filter(|m| m.version > after);
         let departures = self.departures.iter().filter(|(v, _)| *v > after);
         RegistryUpdate {
             mark: current,
-            whole: known.is_none(),
+            whole: base.is_none(),
             present: present.map(|m| m.notice.clone()).collect(),
-            gone: if known.is_some() {
+            gone: if base.is_some() {
                 departures.map(|(_, d)| d.clone()).collect()
             } else {
                 Vec::new()
@@ -161,7 +161,7 @@
         }
         let name = notice.announcement.upstream.clone();
         let stored = self.members.get(&name).map(|m| m.notice.rank());
-        let highest = self.highest(&name);
+        let highest = self.highest_incarnation(&name);
         if notice.announcement.incarnation < highest {
             return ReportAnswer::Outdated { highest };
         }
@@ -190,7 +190,7 @@
     }
 
     fn receive_heartbeat(&mut self, beat: &Heartbeat, now: Time) -> ReportAnswer {
-        let highest = self.highest(&beat.upstream);
+        let highest = self.highest_incarnation(&beat.upstream);
         if beat.incarnation < highest {
             return ReportAnswer::Outdated { highest };
         }
@@ -209,10 +209,10 @@
 
     fn receive_presence(&mut self, presence: Presence, now: Time) -> ReportAnswer {
         let full = self.entries.len() >= MAX_ENTRIES;
-        let known = self.entries.contains_key(&presence.instance);
-        let named =
+        let registered = self.entries.contains_key(&presence.instance);
+        let valid_names =
             InstanceName::is_valid(&presence.instance) && ZoneName::is_valid(&presence.zone);
-        if !named || (full && !known) {
+        if !valid_names || (full && !registered) {
             return ReportAnswer::Refused;
         }
         self.entries
@@ -221,7 +221,7 @@
     }
 
     /// Highest known incarnation of an upstream, including a departed one.
-    fn highest(&self, name: &UpstreamName) -> Incarnation {
+    fn highest_incarnation(&self, name: &UpstreamName) -> Incarnation {
         if let Some(member) = self.members.get(name) {
             return member.notice.announcement.incarnation;
         }
--- a/decision/control/src/directory/view.rs
+++ b/decision/control/src/directory/view.rs
@@ -51,7 +51,7 @@
 
     /// Applies an update and returns the changes that it made.
     pub fn receive(&mut self, update: &RegistryUpdate) -> Vec<Event> {
-        if !self.fits(update) {
+        if !self.is_applicable(update) {
             return Vec::new();
         }
         self.mark = Some(update.mark);
@@ -63,8 +63,8 @@
             self.remove_absent(update, &mut events);
         }
         for departure in &update.gone {
-            let held = self.notices.get(&departure.upstream);
-            if held.is_some_and(|n| n.rank() <= departure.rank) {
+            let stored = self.notices.get(&departure.upstream);
+            if stored.is_some_and(|n| n.rank() <= departure.rank) {
                 self.notices.remove(&departure.upstream);
                 events.push(Event::Gone(departure.upstream.clone()));
             }
@@ -73,7 +73,7 @@
     }
 
     /// Whether the update can be applied at the position of this view.
-    fn fits(&self, update: &RegistryUpdate) -> bool {
+    fn is_applicable(&self, update: &RegistryUpdate) -> bool {
         let Some(mark) = self.mark else {
             return update.whole;
         };
@@ -85,13 +85,13 @@
 
     fn insert(&mut self, notice: &Notice) -> Option<Event> {
         let name = &notice.announcement.upstream;
-        let held = self.notices.get(name).map(Notice::rank);
-        if held >= Some(notice.rank()) {
+        let stored = self.notices.get(name).map(Notice::rank);
+        if stored >= Some(notice.rank()) {
             return None;
         }
         self.notices.insert(name.clone(), notice.clone());
         let announcement = notice.announcement.clone();
-        if held.is_some_and(|(incarnation, _)| incarnation == announcement.incarnation) {
+        if stored.is_some_and(|(incarnation, _)| incarnation == announcement.incarnation) {
             Some(Event::Changed(announcement))
         } else {
             Some(Event::Started(announcement))
--- a/decision/control/src/machine/fences.rs
+++ b/decision/control/src/machine/fences.rs
@@ -11,7 +11,9 @@
 /// Fencing tokens allocated so far; they increase strictly across all upstreams.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub(crate) struct Fences {
+    /// Last allocated token.
     last: Fence,
+    /// Floor of all upstreams without a floor of their own.
     base: Fence,
     floors: BTreeMap<UpstreamName, Fence>,
 }
