--- a/decision/consensus/src/node/catchup.rs
+++ b/decision/consensus/src/node/catchup.rs
@@ -32,8 +32,8 @@
         let snapshot = Snapshot { meta, data };
         self.snapshot = Some(snapshot.clone());
         self.pending_write.snapshot = Some(snapshot);
-        let kept = Index(index.0.saturating_sub(self.options.retained_entries));
-        self.log.compact(kept);
+        let compacted_to = Index(index.0.saturating_sub(self.options.retained_entries));
+        self.log.compact(compacted_to);
     }
 
     /// Switches a peer to snapshot transfer, as the entries it needs are compacted.
@@ -159,7 +159,7 @@
 
     /// Adds a chunk if it is the next one; returns the number of bytes received so far.
     fn add_chunk(&mut self, meta: SnapshotMeta, offset: u64, data: &[u8]) -> u64 {
-        let incoming = match self.incoming.take().filter(|a| a.meta == meta) {
+        let incoming = match self.incoming.take().filter(|s| s.meta == meta) {
             Some(incoming) => self.incoming.insert(incoming),
             None => self.incoming.insert(IncomingSnapshot {
                 meta,
--- a/decision/consensus/src/node/election.rs
+++ b/decision/consensus/src/node/election.rs
@@ -16,13 +16,13 @@
         let alone = self.log.config().voters.len() == 1;
         if alone && !matches!(self.role, Role::Candidate { .. }) {
             self.campaign(false);
-        } else if self.at.now >= self.deadline {
+        } else if self.at.now >= self.election_deadline {
             self.start_pre_vote();
         }
     }
 
     fn start_pre_vote(&mut self) {
-        self.reset_deadline();
+        self.reset_election_deadline();
         self.leader = None;
         self.role = Role::PreCandidate {
             granted: BTreeSet::from([self.hard.identity.clone()]),
@@ -36,14 +36,14 @@
 
     /// Starts an election in a new term.
     pub(super) fn campaign(&mut self, transfer: bool) {
-        self.reset_deadline();
+        self.reset_election_deadline();
         self.leader = None;
         self.hard.term = self.hard.term.next();
         self.hard.vote = Some(self.hard.identity.clone());
         self.save_hard();
         self.role = Role::Candidate {
             granted: BTreeSet::new(),
-            // The own vote does not count before it is synced.
+            // This node's vote does not count before it is synced.
             ticket: self.ticket(Durability::Hard),
         };
         let last = self.log.last();
@@ -64,9 +64,9 @@
 
     pub(super) fn on_pre_vote(&mut self, from: &Identity, term: Term, last: LogId) {
         let granted = term > self.hard.term && !self.supports_leader() && last >= self.log.last();
-        let answer = if granted { term } else { self.hard.term };
+        let reply_term = if granted { term } else { self.hard.term };
         self.send_in(
-            answer,
+            reply_term,
             from,
             Message::PreVoteReply { granted },
             Durability::Hard,
@@ -113,7 +113,7 @@
             self.save_hard();
         }
         if granted {
-            self.reset_deadline();
+            self.reset_election_deadline();
         }
         self.send(from, Message::VoteReply { granted }, Durability::Hard);
     }
@@ -148,7 +148,7 @@
     pub(super) fn become_follower(&mut self, term: Term, leader: Option<Identity>) {
         if matches!(self.role, Role::Leader(_)) {
             self.end_leadership(&Reject::NotLeader(leader.clone()));
-            self.reset_deadline();
+            self.reset_election_deadline();
         }
         if term > self.hard.term {
             self.hard.term = term;
--- a/decision/consensus/src/node/follower.rs
+++ b/decision/consensus/src/node/follower.rs
@@ -8,11 +8,11 @@
 impl Node {
     /// Answers a message from a leader of an old term; other old messages are ignored.
     pub(super) fn answer_stale(&mut self, from: &Identity, body: &Message) {
-        let leads = matches!(
+        let from_leader = matches!(
             body,
             Message::Heartbeat { .. } | Message::Append { .. } | Message::Chunk { .. }
         );
-        if leads {
+        if from_leader {
             self.send(from, Message::Stale, Durability::Hard);
         }
     }
@@ -21,7 +21,7 @@
     pub(super) fn on_leader_contact(&mut self, leader: &Identity) {
         self.become_follower(self.hard.term, Some(leader.clone()));
         self.leader_contact = self.at.now;
-        self.reset_deadline();
+        self.reset_election_deadline();
     }
 
     pub(super) fn on_heartbeat(&mut self, from: &Identity, commit: Index, sent: Time) {
--- a/decision/consensus/src/node/mod.rs
+++ b/decision/consensus/src/node/mod.rs
@@ -53,6 +53,7 @@
 pub struct Node {
     options: Options,
     rng: ChaCha8Rng,
+    /// Clock readings of the current event.
     at: Moment,
     hard: HardState,
     log: Log,
@@ -64,7 +65,7 @@
     /// Time of the last contact with a leader of the current term, or of the start.
     leader_contact: Time,
     /// Time at which an election starts without contact to a leader.
-    deadline: Time,
+    election_deadline: Time,
     /// Write of the current step.
     pending_write: Write,
     last_ticket: Ticket,
@@ -72,8 +73,9 @@
     hard_ticket: Ticket,
     /// Last write with entries or a snapshot.
     log_ticket: Ticket,
+    /// Last write that is synced.
     synced: Ticket,
-    /// Last index synced on the own disk.
+    /// Last index synced on this replica's disk.
     durable: Index,
     /// Log writes that are not synced yet, with their last index.
     unsynced: VecDeque<(Ticket, Index)>,
@@ -122,7 +124,7 @@
             leader: None,
             // The replica may have extended a leader's lease just before its restart.
             leader_contact: at.now,
-            deadline: at.now,
+            election_deadline: at.now,
             pending_write: Write::default(),
             last_ticket: Ticket(0),
             hard_ticket: Ticket(0),
@@ -133,7 +135,7 @@
             actions: Vec::new(),
             snapshot,
         };
-        node.reset_deadline();
+        node.reset_election_deadline();
         if let Some(snapshot) = node.snapshot.clone() {
             node.actions.push(Action::Restore(snapshot));
         }
@@ -297,15 +299,15 @@
         match self.hard.cluster {
             Some(mine) => mine == cluster,
             None => {
-                let leads = matches!(
+                let from_leader = matches!(
                     body,
                     Message::Heartbeat { .. } | Message::Append { .. } | Message::Chunk { .. }
                 );
-                if leads {
+                if from_leader {
                     self.hard.cluster = Some(cluster);
                     self.save_hard();
                 }
-                leads
+                from_leader
             }
         }
     }
@@ -440,10 +442,10 @@
         }
     }
 
-    fn reset_deadline(&mut self) {
+    fn reset_election_deadline(&mut self) {
         let min = self.options.election_timeout;
         let spread = u64::try_from(min.as_micros()).unwrap_or(u64::MAX);
         let extra = self.rng.random_range(0..=spread);
-        self.deadline = self.at.now + min + std::time::Duration::from_micros(extra);
+        self.election_deadline = self.at.now + min + std::time::Duration::from_micros(extra);
     }
 }
--- a/decision/consensus/src/progress.rs
+++ b/decision/consensus/src/progress.rs
@@ -48,7 +48,7 @@
 }
 
 impl Progress {
-    /// Starts to probe the peer from `next` on.
+    /// Starts to probe the peer from `next` on, as if it had all earlier entries.
     pub(crate) fn new(identity: Identity, next: Index) -> Self {
         Self {
             identity,
--- a/decision/consensus/tests/it/scenario.rs
+++ b/decision/consensus/tests/it/scenario.rs
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn founders_become_voters_once_they_have_caught_up() {
+fn wanted_members_become_voters_once_they_have_caught_up() {
     let world = stable_world(2, 5);
     let config = world.node(leader(&world)).unwrap().config();
     assert_eq!((config.voters.len(), config.learners.len()), (5, 0));
