--- a/support/storage/src/fake.rs
+++ b/support/storage/src/fake.rs
@@ -36,7 +36,7 @@
     durable: BTreeMap<String, usize>,
     /// Changes of names since the last sync of the folder.
     changes: Vec<Change>,
-    /// Armed fault and the operations left before it.
+    /// Injected fault and the number of operations before it occurs.
     countdown: Option<(u64, Fault)>,
     state: State,
     operations: u64,
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Injects a fault into the writing operation after `operations` more ones.
+    /// Injects a fault into a writing operation, after `operations` further ones.
     pub fn arm(&self, operations: u64, fault: Fault) {
         self.lock().countdown = Some((operations, fault));
     }
--- a/support/storage/src/storage.rs
+++ b/support/storage/src/storage.rs
@@ -81,15 +81,15 @@
         let names = remove_temporary(&mut disk)?;
         let (hard, fresh) = load_state(&mut disk, &names, name, rng)?;
         let snapshot = newest_snapshot(&mut disk, &names)?;
-        let at = snapshot.as_ref().map(|s| s.meta.last.index);
+        let snapshot_index = snapshot.as_ref().map(|s| s.meta.last.index);
         let mut storage = Self {
             disk,
             segments: VecDeque::new(),
             number: 0,
             written: 0,
             synced: 0,
-            next: at.unwrap_or_default().next(),
-            snapshot: at,
+            next: snapshot_index.unwrap_or_default().next(),
+            snapshot: snapshot_index,
             segment_bytes,
             poisoned: false,
         };
@@ -281,8 +281,8 @@
         let covered = snapshot.map(|s| s.meta.last.index).unwrap_or_default();
         let mut log: Vec<Entry> = Vec::new();
         let mut removed = 0;
-        for (at, number) in numbers.iter().enumerate() {
-            let newest = at + 1 == numbers.len();
+        for (position, number) in numbers.iter().enumerate() {
+            let newest = position + 1 == numbers.len();
             let name = segment::name(*number);
             let bytes = self
                 .disk
@@ -323,7 +323,7 @@
             )));
         }
         log::warn!(
-            "{name}: removed a torn tail of {} bytes",
+            "{name}: removing a torn tail of {} bytes",
             scan.size - scan.valid
         );
         let result = match scan.start {
@@ -355,8 +355,8 @@
                 last.index
             )));
         }
-        let covered = log.iter().find(|e| e.id.index == last.index);
-        let connects = match covered {
+        let snapshot_entry = log.iter().find(|e| e.id.index == last.index);
+        let connects = match snapshot_entry {
             Some(entry) => entry.id == last,
             None => first.is_none_or(|first| first == last.index.next()),
         };
