--- a/app/src/explain/cause.rs
+++ b/app/src/explain/cause.rs
@@ -5,11 +5,16 @@
 use super::Record;
 use crate::lines::{Answered, BrokenOff, Ejected, Interrupted, Ready, Refused};
 
-/// Returns one sentence per relevant line of the request, in order; `near` are the related lines.
-pub(super) fn causes(own: &[&Record], near: &[&Record]) -> Vec<String> {
-    let mut sentences: Vec<String> = own.iter().filter_map(|r| sentence(r, near)).collect();
-    if !own.iter().any(|r| is_end(&r.event)) {
-        sentences.push(unfinished(own, near));
+/// Returns one sentence per relevant line of the request, in order.
+///
+/// `related` holds the other lines that may explain the outcome.
+pub(super) fn causes(request_lines: &[&Record], related: &[&Record]) -> Vec<String> {
+    let mut sentences: Vec<String> = request_lines
+        .iter()
+        .filter_map(|r| sentence(r, related))
+        .collect();
+    if !request_lines.iter().any(|r| is_end(&r.event)) {
+        sentences.push(unfinished(request_lines, related));
     }
     sentences
 }
@@ -19,9 +24,9 @@
     [Answered::EVENT, Refused::EVENT, BrokenOff::EVENT].contains(&event)
 }
 
-fn sentence(record: &Record, near: &[&Record]) -> Option<String> {
+fn sentence(record: &Record, related: &[&Record]) -> Option<String> {
     match record.event.as_str() {
-        Interrupted::EVENT => Some(interrupted(record, near)),
+        Interrupted::EVENT => Some(interrupted(record, related)),
         Refused::EVENT => Some(refused(record)),
         BrokenOff::EVENT => Some(format!(
             "The stream was aborted after the caller had received {} events: {}.",
@@ -39,7 +44,7 @@
     }
 }
 
-fn interrupted(record: &Record, near: &[&Record]) -> String {
+fn interrupted(record: &Record, related: &[&Record]) -> String {
     let upstream = record.text("upstream");
     let how = match record.text("ended") {
         "Unsent" => "could not be reached, so the request was not sent",
@@ -58,13 +63,13 @@
         (_, "") => "It was not sent again".to_owned(),
         (_, reason) => format!("It was not sent again: {reason}"),
     };
-    let state = state_changes(upstream, near);
+    let state = state_changes(upstream, related);
     format!("Upstream {upstream} {how}{passed}{state}. {next}.")
 }
 
 /// Lists the state changes of an upstream in the related lines.
-fn state_changes(upstream: &str, near: &[&Record]) -> String {
-    let changes: Vec<&str> = near
+fn state_changes(upstream: &str, related: &[&Record]) -> String {
+    let changes: Vec<&str> = related
         .iter()
         .filter(|r| r.text("upstream") == upstream)
         .map(|r| match r.event.as_str() {
@@ -103,12 +108,12 @@
     )
 }
 
-fn unfinished(own: &[&Record], near: &[&Record]) -> String {
-    let process = own.last().map_or("", |r| r.process.as_str());
-    let restarted = near
+fn unfinished(request_lines: &[&Record], related: &[&Record]) -> String {
+    let process = request_lines.last().map_or("", |r| r.process.as_str());
+    let restarted = related
         .iter()
         .any(|r| r.process == process && r.event == Ready::EVENT);
-    let dropped = near
+    let dropped = related
         .iter()
         .any(|r| r.process == process && r.event == Dropped::EVENT);
     let likely = if restarted {
--- a/app/src/explain/explanation.rs
+++ b/app/src/explain/explanation.rs
@@ -39,6 +39,7 @@
 #[derive(Clone, Debug)]
 pub struct Explanation {
     request: String,
+    /// Lines in order of time, each with whether it mentions the request.
     lines: Vec<(Record, bool)>,
     causes: Vec<String>,
 }
@@ -48,22 +49,28 @@
 /// Related lines are taken from `around` before the first line of the request to
 /// `around` after its last one.
 pub fn explain(records: &[Record], request: &str, around: Duration) -> Option<Explanation> {
-    let mut own: Vec<&Record> = records
+    let mut request_lines: Vec<&Record> = records
         .iter()
         .filter(|r| r.text("request") == request)
         .collect();
-    own.sort_by_key(|r| r.since);
-    let (first, last) = (own.first()?.since, own.last()?.since);
+    request_lines.sort_by_key(|r| r.time_of_day);
+    let (first, last) = (
+        request_lines.first()?.time_of_day,
+        request_lines.last()?.time_of_day,
+    );
     let span = first.saturating_sub(around)..=last + around;
-    let participants = Participants::of(&own);
-    let near = records
+    let participants = Participants::of(&request_lines);
+    let related = records
         .iter()
-        .filter(|r| span.contains(&r.since) && participants.is_related(r));
-    let near: Vec<&Record> = near.collect();
-    let causes = causes(&own, &near);
-    let mut lines: Vec<(Record, bool)> = own.into_iter().map(|r| (r.clone(), true)).collect();
-    lines.extend(near.into_iter().map(|r| (r.clone(), false)));
-    lines.sort_by_key(|(r, _)| r.since);
+        .filter(|r| span.contains(&r.time_of_day) && participants.is_related(r));
+    let related: Vec<&Record> = related.collect();
+    let causes = causes(&request_lines, &related);
+    let mut lines: Vec<(Record, bool)> = request_lines
+        .into_iter()
+        .map(|r| (r.clone(), true))
+        .collect();
+    lines.extend(related.into_iter().map(|r| (r.clone(), false)));
+    lines.sort_by_key(|(r, _)| r.time_of_day);
     Some(Explanation {
         request: request.to_owned(),
         lines,
@@ -78,15 +85,15 @@
 }
 
 impl<'a> Participants<'a> {
-    fn of(own: &[&'a Record]) -> Self {
-        let upstreams = own.iter().map(|r| r.text("upstream"));
+    fn of(request_lines: &[&'a Record]) -> Self {
+        let upstreams = request_lines.iter().map(|r| r.text("upstream"));
         Self {
-            processes: own.iter().map(|r| r.process.as_str()).collect(),
+            processes: request_lines.iter().map(|r| r.process.as_str()).collect(),
             upstreams: upstreams.filter(|u| !u.is_empty()).collect(),
         }
     }
 
-    /// Whether a line of another event may explain the outcome of the request.
+    /// Whether a line that does not mention the request may explain its outcome.
     fn is_related(&self, record: &Record) -> bool {
         let event = record.event.as_str();
         let same_process = self.processes.contains(record.process.as_str());
@@ -107,8 +114,8 @@
         writeln!(f, "request {}", self.request)?;
         let width = self.lines.iter().map(|(r, _)| r.process.len()).max();
         let width = width.unwrap_or(0);
-        for (record, own) in &self.lines {
-            let mark = if *own { '*' } else { ' ' };
+        for (record, of_request) in &self.lines {
+            let mark = if *of_request { '*' } else { ' ' };
             write!(
                 f,
                 "{mark} {} {:width$} {}",
--- a/app/src/explain/record.rs
+++ b/app/src/explain/record.rs
@@ -30,7 +30,7 @@
     /// Timestamp as written.
     pub time: String,
     /// Time since midnight; the date is ignored, so all lines must be of the same day.
-    pub since: Duration,
+    pub time_of_day: Duration,
     /// Name of the event.
     pub event: String,
     /// All other fields.
@@ -52,7 +52,7 @@
         let (Some(time), Some(event)) = (text("time"), text("event")) else {
             return Err(LineError::Incomplete);
         };
-        let since = since_midnight(time).ok_or(LineError::Incomplete)?;
+        let time_of_day = since_midnight(time).ok_or(LineError::Incomplete)?;
         let (time, event) = (time.to_owned(), event.to_owned());
         let mut words = before.split_whitespace();
         let named = words.rfind(|w| w.parse::<f64>().is_err());
@@ -64,7 +64,7 @@
                 .trim_end_matches([':', '|'])
                 .to_owned(),
             time,
-            since,
+            time_of_day,
             event,
             fields,
         })
