--- a/app/src/agent/core.rs
+++ b/app/src/agent/core.rs
@@ -269,7 +269,7 @@
         }
     }
 
-    /// Returns the state of a claim, and bars one that has not arrived from running later.
+    /// Returns the state of a claim; one that has not arrived yet is rejected if it arrives later.
     pub(super) fn inquire(&self, held: &HeldClaim) -> Option<Finding> {
         let now = self.now();
         let mut inner = self.lock();
@@ -326,7 +326,7 @@
     }
 
     /// Returns the load report and the cache events that the entry lacks.
-    pub(super) fn news(&self, order: &UpdateRequest) -> Option<UpstreamUpdate> {
+    pub(super) fn upstream_update(&self, order: &UpdateRequest) -> Option<UpstreamUpdate> {
         let mut inner = self.lock();
         let slot = inner.slot.as_mut()?;
         let same_incarnation = order.incarnation == Incarnation(slot.engine.started);
--- a/app/src/agent/routes.rs
+++ b/app/src/agent/routes.rs
@@ -25,7 +25,7 @@
         .route(WORK_PATH, web::post().to(work))
         .route(DEMAND_PATH, web::post().to(demand))
         .route(INQUIRY_PATH, web::post().to(inquiry))
-        .route(NEWS_PATH, web::post().to(news))
+        .route(NEWS_PATH, web::post().to(upstream_update))
         .route(&format!("{CANCEL_PATH}/{{id}}"), web::post().to(cancel));
 }
 
@@ -108,13 +108,13 @@
     }
 }
 
-async fn news(core: web::Data<Core>, request: HttpRequest, body: Bytes) -> HttpResponse {
+async fn upstream_update(core: web::Data<Core>, request: HttpRequest, body: Bytes) -> HttpResponse {
     if !is_authorized(&core, &request) {
         return HttpResponse::Forbidden().finish();
     }
     match postcard::from_bytes::<UpdateRequest>(&body) {
-        Ok(order) => match core.news(&order) {
-            Some(news) => encoded(&news),
+        Ok(order) => match core.upstream_update(&order) {
+            Some(update) => encoded(&update),
             None => HttpResponse::ServiceUnavailable().finish(),
         },
         Err(e) => HttpResponse::BadRequest().body(e.to_string()),
--- a/app/src/entry/attempt.rs
+++ b/app/src/entry/attempt.rs
@@ -39,7 +39,7 @@
 }
 
 /// Part of an answer.
-pub(super) enum Step {
+pub(super) enum AnswerPart {
     /// The next piece of the answer.
     Piece(bytes::Bytes),
     /// The answer is complete.
@@ -86,17 +86,17 @@
     }
 
     /// Waits for the next piece or the end.
-    pub(super) async fn next(&mut self) -> Result<Step, Failure> {
+    pub(super) async fn next(&mut self) -> Result<AnswerPart, Failure> {
         match self.watched_frame().await? {
             Frame::Piece { data, .. } => {
                 if let Some(in_flight) = &mut self.in_flight {
                     in_flight.record_piece();
                 }
-                Ok(Step::Piece(data))
+                Ok(AnswerPart::Piece(data))
             }
             Frame::End { .. } => {
                 self.finish(AttemptOutcome::Good);
-                Ok(Step::End)
+                Ok(AnswerPart::End)
             }
             _ => Err(self.unexpected_frame()),
         }
--- a/app/src/entry/dispatch.rs
+++ b/app/src/entry/dispatch.rs
@@ -100,7 +100,8 @@
     Box::pin(pieces)
 }
 
-/// Marks a keyed request refused by a stopping entry, since another entry may have run its key.
+/// Reports a keyed request that a stopping entry refuses as possibly run, since another entry may
+/// have run a request with the same key.
 fn mark_ran_unknown(failure: Failure, keyed: bool) -> Failure {
     if keyed && failure.kind == ErrorKind::Stopping {
         return failure.with_ran(Ran::Unknown);
--- a/app/src/entry/once.rs
+++ b/app/src/entry/once.rs
@@ -33,7 +33,7 @@
 const PROPOSE_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Future of the event that the attempt waits for.
-type Step = Pin<Box<dyn Future<Output = Event>>>;
+type EventFuture = Pin<Box<dyn Future<Output = Event>>>;
 
 /// One request that may run at most once.
 struct AtMostOnce {
@@ -123,7 +123,7 @@
         self: &Rc<Self>,
         actions: Vec<Action>,
         caller: &mut Option<oneshot::Sender<AttemptAnswer>>,
-    ) -> Option<Step> {
+    ) -> Option<EventFuture> {
         let mut step = None;
         for action in actions {
             match action {
@@ -140,7 +140,7 @@
         step
     }
 
-    fn step(self: Rc<Self>, action: Action) -> Step {
+    fn step(self: Rc<Self>, action: Action) -> EventFuture {
         Box::pin(async move {
             match action {
                 Action::Choose { attempt } => self.choose(attempt).await,
@@ -192,7 +192,7 @@
             .upstream_update(placed.agent, &order)
             .await
             .ok()
-            .map(|news| news.epoch)
+            .map(|update| update.epoch)
     }
 
     async fn propose(&self, command: pimentotide_outcome::Command, after: Duration) -> Event {
--- a/app/src/entry/relay.rs
+++ b/app/src/entry/relay.rs
@@ -8,7 +8,7 @@
 use pimentotide_model::{ErrorKind, Failure, Ran, UpstreamName};
 use pimentotide_routing::RetryBudget;
 
-use super::attempt::{Attempt, Head, Step};
+use super::attempt::{AnswerPart, Attempt, Head};
 use super::core::{Core, Running};
 use super::decision::{log_placed, log_refused};
 use super::placing::{self, Placed};
@@ -109,12 +109,12 @@
     /// Waits for the next piece for the caller; `None` at the end of the answer.
     pub(super) async fn next_piece(&mut self) -> Result<Option<Bytes>, Failure> {
         loop {
-            match self.step().await {
-                Ok(Step::Piece(data)) => {
+            match self.next_part().await {
+                Ok(AnswerPart::Piece(data)) => {
                     self.position += 1;
                     return Ok(Some(data));
                 }
-                Ok(Step::End) => return Ok(None),
+                Ok(AnswerPart::End) => return Ok(None),
                 Err(failure) => self.resume(failure).await?,
             }
         }
@@ -124,9 +124,9 @@
     pub(super) async fn collect(&mut self, mut head: Head) -> Result<(Head, Vec<u8>), Failure> {
         let mut body = Vec::new();
         loop {
-            match self.step().await {
-                Ok(Step::Piece(data)) => body.extend_from_slice(&data),
-                Ok(Step::End) => return Ok((head, body)),
+            match self.next_part().await {
+                Ok(AnswerPart::Piece(data)) => body.extend_from_slice(&data),
+                Ok(AnswerPart::End) => return Ok((head, body)),
                 Err(failure) => {
                     self.prepare_retry(failure).await?;
                     body.clear();
@@ -136,22 +136,22 @@
         }
     }
 
-    async fn step(&mut self) -> Result<Step, Failure> {
+    async fn next_part(&mut self) -> Result<AnswerPart, Failure> {
         let left = self.time_left();
         let Some(attempt) = &mut self.current else {
             return Err(Failure::new(ErrorKind::Internal, "no attempt is running"));
         };
-        let step = tokio::time::timeout(left, attempt.next())
+        let part = tokio::time::timeout(left, attempt.next())
             .await
             .unwrap_or_else(|_| Err(deadline_exceeded()));
-        if matches!(step, Ok(Step::End)) {
+        if matches!(part, Ok(AnswerPart::End)) {
             self.core
                 .record_success(&self.job.meta, &self.job.profile.retry);
             if let Some(trial) = self.trial.take() {
                 trial.finish();
             }
         }
-        step
+        part
     }
 
     async fn send(&mut self, placed: Placed) -> Result<Head, Failure> {
@@ -233,7 +233,8 @@
         if failure.ran == Ran::No {
             self.refusals += 1;
             if !RetryBudget::may_reroute(self.refusals) {
-                // Allows the agents that refused as candidates again, to request credits from them.
+                // Upstreams that refused become candidates again, so that credits are requested from
+                // their agents.
                 self.tried.clear();
             }
             let exhausted = self.refusals >= MAX_REFUSALS || self.time_left().is_zero();
@@ -244,8 +245,8 @@
             };
         }
         self.maybe_crashed = true;
-        let ran = self.attempts - self.refusals.min(self.attempts - 1);
-        let Some(delay) = self.core.retry_delay(&self.job, ran) else {
+        let attempts_run = self.attempts - self.refusals.min(self.attempts - 1);
+        let Some(delay) = self.core.retry_delay(&self.job, attempts_run) else {
             return Err(failure);
         };
         self.last_failure = Some(failure);
--- a/app/src/entry/tasks.rs
+++ b/app/src/entry/tasks.rs
@@ -17,7 +17,7 @@
 const QUEUE_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Interval between requests for load and cache events to one agent.
-const NEWS_INTERVAL: Duration = Duration::from_millis(500);
+const UPDATE_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Interval between requests for the suspected contents.
 const SUSPECTS_INTERVAL: Duration = Duration::from_millis(500);
@@ -40,7 +40,7 @@
         actix_rt::spawn(follow(Arc::clone(core))),
         actix_rt::spawn(tick(Arc::clone(core), client.clone())),
         actix_rt::spawn(poll_suspects(Arc::clone(core))),
-        actix_rt::spawn(poll_news(Arc::clone(core), client.clone())),
+        actix_rt::spawn(poll_updates(Arc::clone(core), client.clone())),
     ];
     let entries = core.lock().entries.clone();
     let others = entries.into_iter().filter(|e| e.instance != *core.name());
@@ -81,12 +81,12 @@
 }
 
 /// Requests load and cache events from each agent in turn.
-async fn poll_news(core: Arc<Core>, client: WorkClient) {
+async fn poll_updates(core: Arc<Core>, client: WorkClient) {
     let mut next = std::collections::BTreeMap::<UpstreamName, UpdateRequest>::new();
     loop {
         let upstreams = Arc::clone(&core.view().upstreams);
         next.retain(|name, _| upstreams.contains_key(name));
-        let pause = NEWS_INTERVAL / u32::try_from(upstreams.len().max(1)).unwrap_or(u32::MAX);
+        let pause = UPDATE_INTERVAL / u32::try_from(upstreams.len().max(1)).unwrap_or(u32::MAX);
         for (name, announcement) in upstreams.iter() {
             tokio::time::sleep(pause).await;
             let Ok(agent) = announcement.address.parse::<SocketAddr>() else {
@@ -101,31 +101,31 @@
                     sequence: 0,
                 });
             match client.upstream_update(agent, &order).await {
-                Ok(news) => drop(next.insert(name.clone(), apply_news(&core, name, order, &news))),
+                Ok(u) => drop(next.insert(name.clone(), apply_update(&core, name, order, &u))),
                 Err(e) => log::debug!(
                     "requesting load and cache events from the agent of {name} failed: {e}"
                 ),
             }
         }
         if upstreams.is_empty() {
-            tokio::time::sleep(NEWS_INTERVAL).await;
+            tokio::time::sleep(UPDATE_INTERVAL).await;
         }
     }
 }
 
 /// Applies the load and cache events of an agent; returns the next request.
-fn apply_news(
+fn apply_update(
     core: &Core,
     upstream: &UpstreamName,
     order: UpdateRequest,
-    news: &UpstreamUpdate,
+    update: &UpstreamUpdate,
 ) -> UpdateRequest {
-    core.observe_report(upstream, &news.report);
-    let incarnation: Incarnation = news.report.incarnation;
+    core.observe_report(upstream, &update.report);
+    let incarnation: Incarnation = update.report.incarnation;
     let now = core.now();
     let mut inner = core.lock();
-    inner.epochs.insert(upstream.clone(), news.epoch);
-    for event in &news.events {
+    inner.epochs.insert(upstream.clone(), update.epoch);
+    for event in &update.events {
         let blocks = vec![event.block];
         let change = if event.stored {
             CacheChange::Stored(blocks)
@@ -139,7 +139,7 @@
         };
         inner.placer.observe_cache(upstream, event, now);
     }
-    let sequence = news.events.last().map_or(order.sequence, |e| e.sequence);
+    let sequence = update.events.last().map_or(order.sequence, |e| e.sequence);
     UpdateRequest {
         incarnation,
         sequence,
--- a/app/src/entry/trial.rs
+++ b/app/src/entry/trial.rs
@@ -1,15 +1,16 @@
 //! Admission of requests suspected of crashing upstreams.
 //!
-//! A content is suspected after it ran on an upstream that crashed. It runs
-//! again only as the replicated log admits it, so that no content crashes more
-//! than two upstreams, whichever entries receive its copies.
+//! The content of a request is suspected after it ran on an upstream that
+//! crashed. It runs again only as the replicated log admits it, so that no
+//! content crashes more than two upstreams, whichever entries receive copies of
+//! the request.
 
 use std::time::Duration;
 
 use pimentotide_control::{Command, Response};
 use pimentotide_instance::Submitter;
 use pimentotide_model::{ErrorKind, Failure, Fingerprint, Ran};
-use pimentotide_outcome::{Command as JournalCommand, Crash, Reply, Ticket, Verdict, Witness};
+use pimentotide_outcome::{Command as OutcomeCommand, Crash, Reply, Ticket, Verdict, Witness};
 
 use super::core::Core;
 use super::placing::Placed;
@@ -48,7 +49,7 @@
 impl Drop for Trial {
     fn drop(&mut self) {
         let (control, content, ticket) = (self.control.clone(), self.content, self.ticket);
-        let end = JournalCommand::EndTrial {
+        let end = OutcomeCommand::EndTrial {
             content,
             ticket,
             finished: self.finished,
@@ -59,7 +60,7 @@
                 .submit(&Command::Outcome(end), COMMAND_TIMEOUT)
                 .await
             {
-                log::debug!("ending a trial failed: {e}");
+                log::debug!("recording the end of a trial failed: {e}");
             }
         });
     }
@@ -80,7 +81,7 @@
         request: job.meta.id,
         attempt,
     };
-    let command = Command::Outcome(JournalCommand::Trial {
+    let command = Command::Outcome(OutcomeCommand::Trial {
         content,
         ticket,
         upstream: placed.upstream.clone(),
@@ -113,7 +114,7 @@
     };
     if let Err(e) = control
         .submit(
-            &Command::Outcome(JournalCommand::Crash(crash)),
+            &Command::Outcome(OutcomeCommand::Crash(crash)),
             COMMAND_TIMEOUT,
         )
         .await
--- a/app/src/run/roles.rs
+++ b/app/src/run/roles.rs
@@ -281,8 +281,8 @@
 }
 
 /// Drains the agent once another process supersedes it under the same name.
-async fn drain_when_superseded(mut standby: watch::Receiver<IncarnationState>, agent: Arc<Agent>) {
-    if standby
+async fn drain_when_superseded(mut state: watch::Receiver<IncarnationState>, agent: Arc<Agent>) {
+    if state
         .wait_for(|s| *s == IncarnationState::Superseded)
         .await
         .is_ok()
