--- a/app/src/lines/mod.rs
+++ b/app/src/lines/mod.rs
@@ -17,7 +17,7 @@
 };
 pub use request::{Answered, BrokenOff, Considered, Interrupted, Placed, Refused, Routed};
 
-/// LineKind of log line.
+/// Event name and field names of one kind of log line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LineKind {
     /// Value of the field `event`.
--- a/app/src/lines/process.rs
+++ b/app/src/lines/process.rs
@@ -84,7 +84,7 @@
 /// The state of an upstream changes in the view of an entry.
 #[derive(Default, Serialize)]
 pub struct UpstreamChanged {
-    /// Upstream.
+    /// Name of the upstream.
     pub upstream: String,
     /// Availability zone.
     pub zone: String,
@@ -106,7 +106,7 @@
 /// An entry ejects an upstream for a while after failures.
 #[derive(Default, Serialize)]
 pub struct Ejected {
-    /// Upstream.
+    /// Name of the upstream.
     pub upstream: String,
 }
 
@@ -128,7 +128,7 @@
 pub struct RoleChanged {
     /// New role.
     pub role: String,
-    /// Term.
+    /// Term of the replicated log.
     pub term: u64,
     /// Leader; `None` while it is unknown.
     pub leader: Option<String>,
@@ -163,7 +163,7 @@
 /// A switch of expert maps is complete or has failed.
 #[derive(Default, Serialize)]
 pub struct ExpertsMoved {
-    /// Group.
+    /// Name of the group.
     pub group: String,
     /// Epoch of the group.
     pub epoch: u64,
--- a/app/src/lines/request.rs
+++ b/app/src/lines/request.rs
@@ -7,15 +7,15 @@
 /// Routing decision of an entry that places requests through agents.
 #[derive(Default, Serialize)]
 pub struct Routed<'a> {
-    /// Request.
+    /// Id of the request.
     pub request: String,
-    /// Workspace.
+    /// Name of the workspace.
     pub workspace: &'a str,
-    /// Service.
+    /// Name of the service.
     pub service: &'a str,
-    /// Profile.
+    /// Name of the profile.
     pub profile: &'a str,
-    /// Priority.
+    /// Priority, limited by the profile.
     pub priority: u8,
     /// Number of the attempt.
     pub attempt: u32,
@@ -34,7 +34,7 @@
 /// Candidate upstream of a routing decision.
 #[derive(Default, Serialize)]
 pub struct Considered<'a> {
-    /// Upstream.
+    /// Name of the upstream.
     pub upstream: &'a str,
     /// Expected time to the first token, µs.
     pub score_us: u64,
@@ -49,11 +49,11 @@
 /// A request is sent to an upstream.
 #[derive(Default, Serialize)]
 pub struct Placed<'a> {
-    /// Request.
+    /// Id of the request.
     pub request: &'a str,
-    /// Route.
+    /// Name of the route.
     pub route: &'a str,
-    /// Upstream.
+    /// Name of the upstream.
     pub upstream: &'a str,
     /// Number of the send, from 1.
     pub send: u32,
@@ -72,9 +72,9 @@
 /// A send ended without a complete answer.
 #[derive(Default, Serialize)]
 pub struct Interrupted<'a> {
-    /// Request.
+    /// Id of the request.
     pub request: &'a str,
-    /// Upstream.
+    /// Name of the upstream.
     pub upstream: &'a str,
     /// Kind of failure.
     pub ended: String,
@@ -91,7 +91,7 @@
 /// A stream to the caller is aborted.
 #[derive(Default, Serialize)]
 pub struct BrokenOff<'a> {
-    /// Request.
+    /// Id of the request.
     pub request: &'a str,
     /// Events forwarded to the caller.
     pub events: u64,
@@ -106,7 +106,7 @@
 /// A request is answered by an upstream.
 #[derive(Default, Serialize)]
 pub struct Answered<'a> {
-    /// Request.
+    /// Id of the request.
     pub request: &'a str,
     /// Upstream that answered.
     pub upstream: &'a str,
@@ -123,7 +123,7 @@
 /// A request is refused or fails.
 #[derive(Default, Serialize)]
 pub struct Refused<'a> {
-    /// Request.
+    /// Id of the request.
     pub request: &'a str,
     /// Request path.
     pub path: &'a str,
--- a/app/src/operator/help.rs
+++ b/app/src/operator/help.rs
@@ -65,7 +65,7 @@
 
 /// Returns the help text of a subcommand.
 pub(super) fn text(subcommand: &str) -> String {
-    let own = match subcommand {
+    let specific = match subcommand {
         "profile" => PROFILE,
         "service" => SERVICE,
         "zone" => ZONE,
@@ -74,5 +74,5 @@
         "group" => GROUP,
         _ => STATUS,
     };
-    format!("{own}{COMMON}")
+    format!("{specific}{COMMON}")
 }
--- a/app/tests/it/fleet.rs
+++ b/app/tests/it/fleet.rs
@@ -99,7 +99,7 @@
 }
 
 /// Sends a request and returns the answer without its date.
-async fn ask(address: SocketAddr, request: &str) -> Option<String> {
+async fn send_request(address: SocketAddr, request: &str) -> Option<String> {
     let mut stream = TcpStream::connect(address).await.ok()?;
     stream.write_all(request.as_bytes()).await.ok()?;
     let mut answer = Vec::new();
@@ -109,10 +109,10 @@
 }
 
 /// Repeats the request until the answer begins with `start`.
-async fn until(address: SocketAddr, request: &str, start: &str) -> String {
+async fn wait_for_answer(address: SocketAddr, request: &str, start: &str) -> String {
     let limit = Instant::now() + WAIT_TIMEOUT;
     loop {
-        let answer = ask(address, request).await;
+        let answer = send_request(address, request).await;
         if let Some(answer) = answer.as_ref().filter(|a| a.starts_with(start)) {
             return answer.clone();
         }
@@ -170,7 +170,7 @@
 async fn announce(control: SocketAddr, name: &str, address: SocketAddr) {
     let address = address.to_string();
     let values = [("name", name), ("address", &address[..]), ("sequence", "1")];
-    until(control, &fixture("announce.http", &values), "HTTP/1.1 200").await;
+    wait_for_answer(control, &fixture("announce.http", &values), "HTTP/1.1 200").await;
 }
 
 #[tokio::test]
@@ -181,19 +181,20 @@
     let control = move |host| SocketAddr::new(ip(NETWORK, host), port);
     let entry = deployment.address(NETWORK, ENTRY, 4);
     let declare = |version| fixture("declare.http", &[("version", version)]);
-    let declared = until(control(1), &declare("7"), "HTTP/1.1 200").await;
+    let declared = wait_for_answer(control(1), &declare("7"), "HTTP/1.1 200").await;
     let (address, requests) = spawn_upstream("u1").await;
     announce(control(2), "u1", address).await;
 
     let call = fixture("call.http", &[("key", "k1")]);
-    let served = until(entry, &call, "HTTP/1.1 200").await;
-    let unknown = ask(entry, &fixture("call.http", &[("key", "k9")]))
+    let served = wait_for_answer(entry, &call, "HTTP/1.1 200").await;
+    let unknown = send_request(entry, &fixture("call.http", &[("key", "k9")]))
         .await
         .unwrap();
     let resolve = fixture("resolve.http", &[]);
-    let resolved = until(deployment.address(NETWORK, 3, 3), &resolve, "HTTP/1.1 200").await;
+    let resolved =
+        wait_for_answer(deployment.address(NETWORK, 3, 3), &resolve, "HTTP/1.1 200").await;
     let resolved = resolved.replace(&entry.to_string(), "ENTRY");
-    let entry_resolved = until(
+    let entry_resolved = wait_for_answer(
         deployment.address(NETWORK, ENTRY, 3),
         &resolve,
         "HTTP/1.1 200",
@@ -210,24 +211,24 @@
 
     // With one of three replicas lost, orders and requests still succeed.
     deployment.controls.pop();
-    until(control(1), &declare("8"), "HTTP/1.1 200").await;
-    let read = until(control(2), &fixture("read.http", &[]), "HTTP/1.1 200").await;
+    wait_for_answer(control(1), &declare("8"), "HTTP/1.1 200").await;
+    let read = wait_for_answer(control(2), &fixture("read.http", &[]), "HTTP/1.1 200").await;
     assert!(read.contains("\"version\":8"), "{read}");
-    until(entry, &call, "HTTP/1.1 200").await;
+    wait_for_answer(entry, &call, "HTTP/1.1 200").await;
 
-    until(control(2), &fixture("close_zone.http", &[]), "HTTP/1.1 200").await;
-    let closed = mask_retry_after(&until(entry, &call, "HTTP/1.1 503").await);
+    wait_for_answer(control(2), &fixture("close_zone.http", &[]), "HTTP/1.1 200").await;
+    let closed = mask_retry_after(&wait_for_answer(entry, &call, "HTTP/1.1 503").await);
 
     // A graceful stop fails the readiness check at once and exits with 0.
     let ready = fixture("ready.http", &[]);
-    until(
+    wait_for_answer(
         deployment.address(NETWORK, ENTRY, 5),
         &ready,
         "HTTP/1.1 200",
     )
     .await;
     deployment.entry.terminate();
-    until(
+    wait_for_answer(
         deployment.address(NETWORK, ENTRY, 5),
         &ready,
         "HTTP/1.1 503",
@@ -248,7 +249,7 @@
     let deployment = Deployment::start(NETWORK);
     let control = deployment.address(NETWORK, 1, 2);
     let entry = deployment.address(NETWORK, ENTRY, 4);
-    until(
+    wait_for_answer(
         control,
         &fixture("declare.http", &[("version", "7")]),
         "HTTP/1.1 200",
@@ -261,9 +262,11 @@
     let call = fixture("call.http", &[("key", "k1")]);
     // The entry has both upstreams in its view once each has received a request.
     while asked_first.lock().unwrap().is_empty() || asked_second.lock().unwrap().is_empty() {
-        until(entry, &call, "HTTP/1.1 200").await;
+        wait_for_answer(entry, &call, "HTTP/1.1 200").await;
     }
-    let stream = ask(entry, &fixture("stream.http", &[])).await.unwrap();
+    let stream = send_request(entry, &fixture("stream.http", &[]))
+        .await
+        .unwrap();
     let log = fs::read_to_string(deployment.folder.path().join("entry4.log")).unwrap();
     assert!(stream.contains("id: 3"), "{stream}\n{log}");
     assert_snapshot!(stream);
--- a/standin/src/core.rs
+++ b/standin/src/core.rs
@@ -23,6 +23,7 @@
 }
 
 struct Inner {
+    /// Start time, µs since the Unix epoch; identifies the incarnation.
     started: u64,
     running: u32,
     finished: u32,
@@ -34,7 +35,10 @@
     control: Control,
 }
 
-/// Run in progress; recorded as aborted on drop unless [`Run::complete`] was called.
+/// Run in progress; its end is recorded on drop.
+///
+/// It counts as completed if [`Run::complete`] was called and the engine has not restarted since
+/// the run started, else as aborted.
 pub(crate) struct Run {
     core: std::sync::Arc<Core>,
     id: String,
--- a/support/observe/src/queue.rs
+++ b/support/observe/src/queue.rs
@@ -88,7 +88,9 @@
         std::mem::take(&mut self.text)
     }
 
-    /// Returns the lines dropped delta the last report; `None` within the same rate window or if there are none.
+    /// Returns the numbers of lines dropped since the last report.
+    ///
+    /// `None` within the same rate window, or if no line was dropped.
     pub fn report(&mut self, now: Instant) -> Option<Dropped> {
         if now.saturating_duration_since(self.window_start) < RATE_WINDOW
             || self.dropped == self.reported
