--- a/support/observe/src/metrics.rs
+++ b/support/observe/src/metrics.rs
@@ -61,7 +61,7 @@
         (metrics, exposition)
     }
 
-    /// Adds to a counter.
+    /// Adds `amount` to a counter; `tag` is a key and its value.
     pub fn count(&self, name: &str, tag: (&str, &str), amount: i64) {
         if let Some(client) = &self.client {
             client
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Sets a gauge.
+    /// Sets a gauge; `tag` is a key and its value.
     pub fn gauge(&self, name: &str, tag: (&str, &str), value: u64) {
         if let Some(client) = &self.client {
             client
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Records a duration.
+    /// Records a duration; `tag` is a key and its value.
     pub fn time(&self, name: &str, tag: (&str, &str), value: Duration) {
         if let Some(client) = &self.client {
             client
