--- a/app/src/fleet/agent/coordinate.rs
+++ b/app/src/fleet/agent/coordinate.rs
@@ -19,17 +19,19 @@
 
 /// Time between checks of the expert demand.
 const CHECK_INTERVAL: Duration = Duration::from_millis(200);
-/// Maximum over mean rank load at which experts are moved.
+/// Ratio of maximum to mean rank load from which experts are moved.
 ///
 /// Lower values are noise of a one-second window, and copies cost more than they save.
 const TRIGGER_IMBALANCE: f64 = 1.3;
-/// Maximum over mean rank load that a new placement aims for.
+/// Ratio of maximum to mean rank load that a new placement aims for.
 const TARGET_IMBALANCE: f64 = 1.1;
 /// Minimum relative reduction of the maximum rank load for which experts are moved.
 const MIN_GAIN_RATIO: f64 = 0.05;
-/// Maximum over mean rank load in the newest sample alone that indicates a shift of demand.
+/// Ratio of maximum to mean rank load that, in the newest sample alone, indicates a shift of demand.
 const SHIFT_IMBALANCE: f64 = 1.6;
 /// Maximum counts that all ranks together report per check, two bytes each.
+///
+/// Exceeded only if the minimum number of ranks already reports more.
 const MAX_COUNTS: usize = 12_000;
 /// Minimum ranks asked for counts per check.
 const MIN_COUNTED_RANKS: usize = 4;
@@ -56,7 +58,7 @@
     current: Option<Placement>,
 }
 
-/// Coordinates until the task is aborted.
+/// Checks the placement periodically until the task is aborted.
 pub(super) async fn coordinate(engine: EngineHandle, peers: Arc<Peers>, metrics: Metrics) {
     let mut coordinator = Coordinator {
         engine,
@@ -121,7 +123,7 @@
         if let Some(step) = first.report.held {
             let version = self.next_version(&states);
             group
-                .release(step, version, placement, "pass left held")
+                .release(step, version, placement, "the pass was left held")
                 .await;
         } else if steady && !armed {
             self.rebalance(group, &states, placement).await;
@@ -131,10 +133,10 @@
 
     /// Returns the ranks asked for counts in this check.
     ///
-    /// Their number is bounded by link capacity; all ranks take turns.
+    /// The capacity of the links bounds their number, so the ranks are asked in turn.
     fn counted_ranks(&mut self, size: usize) -> Vec<usize> {
-        let numbers = self.demand.len().max(1);
-        let count = (MAX_COUNTS / numbers)
+        let counts_per_rank = self.demand.len().max(1);
+        let count = (MAX_COUNTS / counts_per_rank)
             .clamp(MIN_COUNTED_RANKS, MAX_COUNTED_RANKS)
             .min(size);
         let first = self.next_rank;
--- a/app/src/fleet/agent/engine.rs
+++ b/app/src/fleet/agent/engine.rs
@@ -40,7 +40,9 @@
     pub(super) report: EngineReport,
     /// Experts that the rank holds.
     pub(super) held: HeldExperts,
-    /// Selections of each expert since the last counts, layer after layer; `None` without a base.
+    /// Times that each expert was chosen since the last counts, layer after layer.
+    ///
+    /// `None` if no counts were requested, or there are no earlier ones to compare with.
     pub(super) chosen: Option<Vec<u32>>,
 }
 
@@ -99,7 +101,7 @@
         result
     }
 
-    /// Reads the state that the coordinator needs, with expert selections if `counts`.
+    /// Reads the state that the coordinator needs, including expert choices if `counts`.
     pub(super) async fn state(&self, counts: bool) -> Result<RankState, Failure> {
         let held = self.request(EngineRequest::Held).await?;
         let report = self.report().await?;
@@ -116,7 +118,9 @@
         })
     }
 
-    /// Returns the selections since the last counts; `None` after a restart of the engine or its group.
+    /// Returns the choices since the last counts.
+    ///
+    /// `None` for the first counts, and after a restart of the engine or its group.
     fn counts_since_last(&self, born: u64, picked: &PickedExperts) -> Option<Vec<u32>> {
         let mut last = self
             .last_counts
@@ -171,7 +175,7 @@
 }
 
 async fn handle_request(client: EngineClient, request: EngineRequest) {
-    // The receiver may have been dropped.
+    // Sending fails if the caller no longer waits, which needs no handling.
     match request {
         EngineRequest::Report(reply) => drop(reply.send(client.report().await)),
         EngineRequest::Held(reply) => drop(reply.send(client.held().await)),
--- a/app/src/fleet/agent/ranks.rs
+++ b/app/src/fleet/agent/ranks.rs
@@ -137,7 +137,9 @@
 }
 
 impl Group {
-    /// Sends the placement of `version` as a change to ranks whose last placement is its base.
+    /// Sets the change in whose form the placement of `version` is sent.
+    ///
+    /// Ranks whose last placement is not the base of the change receive the whole placement.
     pub(super) fn with_change(self, version: u64, change: PlacementChange) -> Self {
         let change = Some((version, change));
         Self { change, ..self }
@@ -179,9 +181,9 @@
         })
     }
 
-    /// Reads the state of all ranks, with expert selections of those in `counted`.
+    /// Reads the state of all ranks, with the expert choices of those in `counted`.
     ///
-    /// Goes through the agents only, because counts are expensive to read from elsewhere.
+    /// Asks only the agents, because reading counts from a remote engine is expensive.
     pub(super) async fn states(&self, counted: &[usize]) -> Vec<Result<RankState, Failure>> {
         let states = self.routes.iter().enumerate().map(|(rank, route)| {
             let counts = counted.contains(&rank);
@@ -240,7 +242,7 @@
             RankRoute::Remote(agent, engine) => {
                 match remote_order(agent, &order, self.delta(&order)).await {
                     Ok(answer) => Ok(answer),
-                    // The engine itself does not answer its agent.
+                    // The agent got no answer from its engine, so no direct order is sent.
                     Err(failure) if failure.kind == ErrorKind::UpstreamFailed => Err(failure),
                     Err(failure) => {
                         log::info!(
@@ -253,7 +255,9 @@
             }
         };
         answer
-            .inspect_err(|failure| log::warn!("order {} to rank {rank}: {failure}", order.order))
+            .inspect_err(|failure| {
+                log::warn!("order {} to rank {rank} failed: {failure}", order.order);
+            })
             .ok()
     }
 
--- a/app/src/fleet/agent/rescue.rs
+++ b/app/src/fleet/agent/rescue.rs
@@ -41,10 +41,10 @@
             Some((seat, step, _)) if (seat, *step) == (&position.0, position.1) => {}
             _ => last = Some((position.0, position.1, Instant::now())),
         }
-        let stuck = last
+        let stuck_for = last
             .as_ref()
             .map_or(Duration::ZERO, |(_, _, since)| since.elapsed());
-        if !is_stuck(&report, seat.rank, stuck) {
+        if !is_stuck(&report, seat.rank, stuck_for) {
             continue;
         }
         if let Some(group) = peers.group(&seat, report.size)
@@ -55,10 +55,10 @@
     }
 }
 
-fn is_stuck(report: &EngineReport, rank: u16, stuck: Duration) -> bool {
+fn is_stuck(report: &EngineReport, rank: u16, stuck_for: Duration) -> bool {
     let open = report.membership.as_ref().is_some_and(|m| m.open);
     let work = report.running + report.waiting > 0;
-    open && work && stuck >= STUCK_TIMEOUT + RANK_DELAY * u32::from(rank - 1)
+    open && work && stuck_for >= STUCK_TIMEOUT + RANK_DELAY * u32::from(rank - 1)
 }
 
 async fn rescue(group: &Group) -> Result<(), Failure> {
--- a/app/src/fleet/control/desk.rs
+++ b/app/src/fleet/control/desk.rs
@@ -102,7 +102,7 @@
             if changed || Deadline::now() >= until {
                 break;
             }
-            // A timeout ends the loop above; the end of the replica fails the next query.
+            // After a timeout the loop ends with one more query, which fails if the replica has stopped.
             let _ = tokio::time::timeout_at(until, applied.changed()).await;
         }
         self.replica.read_index().await?;
--- a/app/src/fleet/control/membership.rs
+++ b/app/src/fleet/control/membership.rs
@@ -1,7 +1,7 @@
 //! Membership of the log.
 //!
-//! A replica that is no member requests to join. The leader removes members that
-//! lost their disk or stay silent.
+//! A replica that is not a member or has no leader requests to join. The leader
+//! removes members that lost their disk or stay silent.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -88,7 +88,7 @@
         if status.log.role != RoleKind::Leader {
             return Err(Failure::new(
                 ErrorKind::NotLeader,
-                "not the leader; ask the leader",
+                "this replica is not the leader",
             ));
         }
         let requester = Some((&joining.name, joining.disk));
--- a/app/src/fleet/control/mod.rs
+++ b/app/src/fleet/control/mod.rs
@@ -25,7 +25,8 @@
 
 /// Minimum election timeout.
 ///
-/// Several times the duration of one round on a small share of a core.
+/// Several times the duration of one round of messages when the process gets a
+/// small share of a core.
 const ELECTION_TIMEOUT: Duration = Duration::from_millis(450);
 /// Time between heartbeats of the leader.
 ///
--- a/app/src/fleet/entry/mod.rs
+++ b/app/src/fleet/entry/mod.rs
@@ -24,7 +24,7 @@
 use relay::EntryRelay;
 use state::EntryState;
 
-/// Time for which connections outlast the idle timeout announced to callers.
+/// Time after which an idle connection is closed; longer than the idle timeout announced to callers.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 /// Timeout of receiving a request head; callers need far less.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(5);
@@ -102,7 +102,8 @@
         })
     }
 
-    /// Drains the entry: turns new callers away, waits for open requests and closes all connections.
+    /// Drains the entry: directs callers to other entries, then refuses new requests,
+    /// waits for open ones and closes all connections.
     pub(super) async fn stop(self) {
         let start = Instant::now();
         self.state.stop();
--- a/app/src/fleet/entry/state.rs
+++ b/app/src/fleet/entry/state.rs
@@ -38,8 +38,11 @@
     callers: SocketAddr,
     lease: Duration,
     inner: Mutex<Inner>,
+    /// Number of open requests.
     open: AtomicUsize,
+    /// Whether the entry drains; new requests are still served until `refusing`.
     stopping: AtomicBool,
+    /// Whether new requests are refused.
     refusing: AtomicBool,
     stopped: Notify,
     started: Notify,
--- a/app/src/fleet/entry/streaming.rs
+++ b/app/src/fleet/entry/streaming.rs
@@ -172,7 +172,7 @@
                 detail: &failure.detail,
                 after_ms: run.attempt.elapsed_ms(),
             });
-            // Lets the server write the events out; the error would drop them.
+            // Lets the server write out earlier events, which the error would discard.
             tokio::task::yield_now().await;
             return Some((Err(failure), None));
         }
--- a/app/src/fleet/settings.rs
+++ b/app/src/fleet/settings.rs
@@ -65,7 +65,7 @@
     /// Addresses of some control replicas, with the port for operators.
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
-    /// Whether this is the first start of the whole deployment, which founds the log.
+    /// Whether this is the first start of the whole deployment, which creates the log.
     #[serde(default)]
     pub first_start: bool,
     /// Data folder on the instance's disk; required by the control role.
@@ -77,7 +77,7 @@
     /// Maximum open descriptors; `None` applies the default connection limit.
     #[serde(default)]
     pub descriptors: Option<u64>,
-    /// Number of simultaneous losses of instances with a disk that the log must survive.
+    /// Number of instances with a disk that may be lost at once without loss of the log.
     #[serde(default = "one")]
     pub loss: usize,
     /// Time limits and retry budget.
