--- a/decision/experts/src/budget.rs
+++ b/decision/experts/src/budget.rs
@@ -79,7 +79,7 @@
     hourly: u64,
     level: u64,
     at: Time,
-    /// Plan charged last, so that a resent command is not charged again.
+    /// Identifier of the last plan charged, so that a resent command is not charged again.
     last: Option<OrderId>,
 }
 
@@ -139,7 +139,7 @@
         self.waiting.remove(id);
     }
 
-    /// Removes expired leases and waits.
+    /// Removes expired leases, and cold starts whose waiting time has expired.
     pub fn expire(&mut self, now: Time) {
         self.leases.retain(|_, l| l.until > now);
         self.waiting.retain(|_, until| *until > now);
--- a/decision/experts/src/command.rs
+++ b/decision/experts/src/command.rs
@@ -123,7 +123,7 @@
         /// Final progress.
         end: Progress,
     },
-    /// Removes expired leases and waits.
+    /// Removes expired leases, and cold starts whose waiting time has expired.
     Expire,
 }
 
--- a/decision/experts/src/manager.rs
+++ b/decision/experts/src/manager.rs
@@ -35,7 +35,9 @@
     nonce: u64,
     coordinator: Coordinator,
     planner: Planner,
+    /// Plan whose cost is submitted to the log, but not charged yet.
     pending: Option<(PlanCost, Plan)>,
+    /// Number of plans since the start; distinguishes their identifiers.
     plans: u64,
     notes: ManagerNotes,
     hourly: u64,
--- a/decision/experts/src/order.rs
+++ b/decision/experts/src/order.rs
@@ -206,7 +206,7 @@
         running.map(|(order, _)| order.clone()).collect()
     }
 
-    /// Progress of an order; `None` if it is not kept.
+    /// Progress of an order; `None` if it is unknown or no longer stored.
     pub fn progress(&self, upstream: &UpstreamName, id: &OrderId) -> Option<Progress> {
         let orders = self.upstreams.get(upstream)?;
         orders.iter().find(|(o, _)| o.id == *id).map(|(_, p)| *p)
--- a/decision/experts/src/plan/planner.rs
+++ b/decision/experts/src/plan/planner.rs
@@ -128,7 +128,8 @@
     policy: PlanPolicy,
     popularity: Popularity,
     speeds: Speeds,
-    evaluations: u32,
+    /// Number of consecutive evaluations that have reached the trigger.
+    triggered: u32,
     last_proposal: Option<Time>,
 }
 
@@ -176,7 +177,7 @@
             speeds: Speeds::new(ranks),
             layout,
             policy,
-            evaluations: 0,
+            triggered: 0,
             last_proposal: None,
         })
     }
@@ -235,7 +236,7 @@
         };
         if let Verdict::Propose(_) = verdict {
             self.last_proposal = Some(now);
-            self.evaluations = 0;
+            self.triggered = 0;
         }
         verdict
     }
@@ -257,11 +258,11 @@
             return Some(Declined::Switching);
         }
         if before.skew() < self.policy.trigger {
-            self.evaluations = 0;
+            self.triggered = 0;
             return Some(Declined::Balanced);
         }
-        self.evaluations += 1;
-        if self.evaluations < self.policy.looks {
+        self.triggered += 1;
+        if self.triggered < self.policy.looks {
             return Some(Declined::Brief);
         }
         let recent = |last: Time| now.since(last) < self.policy.pause;
--- a/decision/experts/src/plan/popularity.rs
+++ b/decision/experts/src/plan/popularity.rs
@@ -12,7 +12,7 @@
 /// Exponent of the forward weight above which all sums are scaled down.
 const RESCALE_EXPONENT: f64 = 256.0;
 
-/// Latest sequence numbers in which duplicates are recognised; older ones are rejected.
+/// Number of latest sequence numbers among which duplicates are recognised; older ones are rejected.
 const DUPLICATE_WINDOW: u64 = 64;
 
 /// Tokens that each expert processed during one interval, as counted by one rank.
@@ -32,6 +32,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 struct SequenceWindow {
     newest: u64,
+    /// Received numbers; bit n stands for `newest - n`.
     mask: u64,
 }
 
--- a/decision/experts/src/switch/agent.rs
+++ b/decision/experts/src/switch/agent.rs
@@ -16,7 +16,9 @@
 /// Maximum number of freed maps kept to recognise late orders.
 const MAX_FREED: usize = 16;
 
-/// Steps between two reports to the leader; below this many granted steps each step is reported.
+/// Steps between two reports to the leader.
+///
+/// Every step is reported while fewer steps than this are granted ahead.
 const REPORT_INTERVAL_STEPS: u64 = 4;
 
 /// State of the weights of one map.
@@ -34,13 +36,17 @@
     floor: Option<Fence>,
     epoch: Epoch,
     grants: Vec<Grant>,
+    /// Next step to run; `None` until a grant of the epoch arrives.
     next: Option<u64>,
     step: u64,
     active: Option<MapId>,
     running: bool,
     maps: BTreeMap<MapId, Weights>,
+    /// Latest maps whose weights were freed.
     freed: Vec<MapId>,
+    /// Maps to free once no grant refers to them.
     discarded: Vec<MapId>,
+    /// Map whose weights failed to load last.
     failed: Option<MapId>,
 }
 
@@ -111,7 +117,7 @@
         }
     }
 
-    /// Records that the weights of a map are loaded.
+    /// Records that the weights of a map are loaded; frees them if it was discarded meanwhile.
     pub fn loaded(&mut self, id: MapId) -> Vec<Action> {
         let Some(weights) = self.maps.get_mut(&id) else {
             return vec![Action::Free(id)];
--- a/decision/experts/src/switch/coordinator.rs
+++ b/decision/experts/src/switch/coordinator.rs
@@ -34,7 +34,7 @@
     Taking,
     /// No switch is in flight.
     Idle,
-    /// A map has no identity from the log yet.
+    /// The proposed map is submitted to the log, which assigns its identity.
     Proposing,
     /// Ranks load a map.
     Staging(MapId),
@@ -80,10 +80,12 @@
     nonce: u64,
     policy: SwitchPolicy,
     phase: Phase,
+    /// Time at which the phase began.
     entered_at: Time,
     fence: Fence,
     group: Option<GroupState>,
     proposed: Option<Arc<ExpertMap>>,
+    /// Reason for the abandonment in flight.
     cause: AbandonCause,
     ending: Option<Ending>,
     ranks: Vec<Option<RankStatus>>,
--- a/decision/experts/src/switch/leader.rs
+++ b/decision/experts/src/switch/leader.rs
@@ -33,7 +33,9 @@
     state: State,
     epoch: Epoch,
     floor: Fence,
+    /// Latest decided map.
     decided: DecidedMap,
+    /// Map of the newest grants, or of the epoch that is being opened.
     current: DecidedMap,
     grants: Vec<Grant>,
     ranks: Vec<Option<RankStatus>>,
--- a/decision/experts/tests/it/coordinator.rs
+++ b/decision/experts/tests/it/coordinator.rs
@@ -1,7 +1,7 @@
 //! A coordinator ignores replies to commands of an earlier switch.
 //!
 //! Commands are resent until answered, so replies can arrive after the switch
-//! that they belong to; taken for newer replies they would end the next switch early.
+//! that they belong to. Applied to the next switch, they would end it early.
 
 use std::sync::Arc;
 
--- a/decision/experts/tests/it/even_exhaustive.rs
+++ b/decision/experts/tests/it/even_exhaustive.rs
@@ -101,7 +101,7 @@
     assert!(switched > played / 2, "{switched} of {played}");
 }
 
-/// Without any one safety check of the engines the same search finds two maps.
+/// If engines skip any one of the safety checks, the same search finds a pass under two maps.
 #[test]
 fn each_safety_check_is_needed() {
     let violations_without = |skipped: SkippedChecks| {
