--- a/dev/scenario/src/script/expect.rs
+++ b/dev/scenario/src/script/expect.rs
@@ -37,7 +37,7 @@
         "settled" => Expect::Settled(Some(words.number("a map")?)),
         "ended" => Expect::Ended,
         "crashes" => Expect::Crashes(count(words)?),
-        other => return Err(format!("{other:?} cannot be expected")),
+        other => return Err(format!("{other:?} is not an expectation")),
     })
 }
 
--- a/dev/scenario/src/script/parse.rs
+++ b/dev/scenario/src/script/parse.rs
@@ -54,7 +54,7 @@
         }
     }
     if errors.is_empty() && !scope.begun {
-        let message = "the script never says \"begin\"".to_owned();
+        let message = "the script has no \"begin\" statement".to_owned();
         errors.push(ScriptError {
             line: last,
             message,
@@ -207,7 +207,7 @@
         "fills" => DiskFault::Fills,
         "crashes" => DiskFault::Crashes,
         "lost" => DiskFault::Lost,
-        other => return Err(format!("{other:?} cannot happen to a disk")),
+        other => return Err(format!("{other:?} is not a disk fault")),
     };
     Ok(Statement::Disk(name, fault))
 }
@@ -296,10 +296,10 @@
             return Err("the first statement has to be \"seed\"".to_owned());
         }
         if setup && self.begun {
-            return Err("this has to stand before \"begin\"".to_owned());
+            return Err("this statement must precede \"begin\"".to_owned());
         }
         if !setup && !self.begun {
-            return Err("this has to stand after \"begin\"".to_owned());
+            return Err("this statement must follow \"begin\"".to_owned());
         }
         self.declare(statement)?;
         self.check_references(statement)
@@ -310,7 +310,7 @@
             Statement::Seed(seed) => self.seed.replace(*seed).is_none(),
             Statement::Instance { name, zone, disk } => {
                 if self.has_upstreams {
-                    return Err("instances stand before upstreams and groups".to_owned());
+                    return Err("instances must precede upstreams and groups".to_owned());
                 }
                 self.disks += usize::from(*disk);
                 self.places.insert(zone.clone());
--- a/dev/scenario/src/world/entry.rs
+++ b/dev/scenario/src/world/entry.rs
@@ -63,8 +63,8 @@
         self.tick_streams(node, now);
         if self.hosts[node].stopping {
             let streams = self.streams.values().any(|s| s.entry == node);
-            let onces = self.onces.values().any(|o| o.entry == node);
-            if !streams && !onces || self.bypasses(Guard::Drain) {
+            let once_requests = self.once_requests.values().any(|o| o.entry == node);
+            if !streams && !once_requests || self.bypasses(Guard::Drain) {
                 self.exit(node);
             }
         }
--- a/dev/scenario/src/world/group.rs
+++ b/dev/scenario/src/world/group.rs
@@ -20,7 +20,7 @@
 
 /// Number of experts in the only layer.
 const EXPERT_COUNT: u16 = 8;
-/// Interval at which ranks, leader and coordinator send again.
+/// Interval between ticks of ranks, leader and coordinator, at which they resend messages.
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
 /// Time of a step after all ranks have started it.
 const STEP_DURATION: Duration = Duration::from_millis(25);
--- a/dev/scenario/src/world/history.rs
+++ b/dev/scenario/src/world/history.rs
@@ -26,7 +26,7 @@
     upstream: String,
 }
 
-/// Events seen by callers and engines, and the invariants they violated.
+/// Events at callers and engines, and the invariants they violated.
 #[derive(Debug, Default)]
 pub(super) struct History {
     pub(super) violations: Vec<String>,
--- a/dev/scenario/src/world/mod.rs
+++ b/dev/scenario/src/world/mod.rs
@@ -65,6 +65,8 @@
 }
 
 /// An event of the queue.
+///
+/// A `u64` after a node is the generation of the process for which the event is valid.
 #[derive(Clone, Debug)]
 enum SimEvent {
     Deliver(NodeId, NodeId, Box<Packet>),
@@ -103,7 +105,7 @@
     calls: BTreeMap<u64, Call>,
     orders: BTreeMap<String, OrderState>,
     streams: BTreeMap<u64, StreamRequest>,
-    onces: BTreeMap<u64, OnceRequest>,
+    once_requests: BTreeMap<u64, OnceRequest>,
     group: Option<Group>,
     poisons: BTreeSet<String>,
     bypassed: Vec<Guard>,
@@ -151,7 +153,7 @@
             calls: BTreeMap::new(),
             orders: BTreeMap::new(),
             streams: BTreeMap::new(),
-            onces: BTreeMap::new(),
+            once_requests: BTreeMap::new(),
             group: None,
             poisons: BTreeSet::new(),
             bypassed: Vec::new(),
@@ -224,7 +226,7 @@
                 *node
             }
             SimEvent::Stream(id) => self.streams.get(id)?.entry,
-            SimEvent::Once(once, ..) => self.onces.get(once)?.entry,
+            SimEvent::Once(once, ..) => self.once_requests.get(once)?.entry,
             _ => return None,
         };
         let until = self.hosts.get(node)?.paused_until;
--- a/dev/scenario/src/world/once.rs
+++ b/dev/scenario/src/world/once.rs
@@ -90,13 +90,13 @@
             ticket: None,
             answered: false,
         };
-        self.onces.insert(id, once);
+        self.once_requests.insert(id, once);
         self.schedule(deadline, SimEvent::Once(id, 0, Timer::Deadline));
         self.once_actions(id, actions);
     }
 
     fn once_event(&mut self, id: u64, event: Event) {
-        let Some(once) = self.onces.get_mut(&id) else {
+        let Some(once) = self.once_requests.get_mut(&id) else {
             return;
         };
         let now = self.hosts[once.entry].clock.local(self.time);
@@ -104,13 +104,13 @@
         let closed = once.attempt.is_closed();
         self.once_actions(id, actions);
         if closed {
-            self.onces.remove(&id);
+            self.once_requests.remove(&id);
         }
     }
 
     fn once_actions(&mut self, id: u64, actions: Vec<Action>) {
         for action in actions {
-            let Some(once) = self.onces.get_mut(&id) else {
+            let Some(once) = self.once_requests.get_mut(&id) else {
                 return;
             };
             if !matches!(action, Action::Answer(_) | Action::Finish) {
@@ -137,7 +137,7 @@
     }
 
     pub(super) fn once_timer(&mut self, id: u64, stage: u64, timer: Timer) {
-        let Some(once) = self.onces.get(&id) else {
+        let Some(once) = self.once_requests.get(&id) else {
             return;
         };
         if once.stage != stage && !matches!(timer, Timer::Deadline) {
@@ -160,10 +160,10 @@
                 );
             }
             Timer::Unreachable(place) => {
-                let gone = self.is_gone(entry, &place);
+                let lost = self.is_ledger_lost(entry, &place);
                 self.once_event(
                     id,
-                    if gone {
+                    if lost {
                         Event::Gone
                     } else {
                         Event::Unreachable
@@ -174,8 +174,8 @@
         }
     }
 
-    /// Whether the directory or the agent's reports show that the ledger with the claim is gone.
-    fn is_gone(&self, entry: NodeId, place: &Place) -> bool {
+    /// Whether the directory or the agent's reports show that the ledger with the claim is lost.
+    fn is_ledger_lost(&self, entry: NodeId, place: &Place) -> bool {
         let entry = &self.entries[&entry];
         let listed = entry.watcher.view.get(&place.upstream).is_some();
         let epoch = entry.epochs.get(&place.upstream);
@@ -183,7 +183,7 @@
     }
 
     fn choose(&mut self, id: u64) {
-        let Some(once) = self.onces.get(&id) else {
+        let Some(once) = self.once_requests.get(&id) else {
             return;
         };
         let (node, stage) = (once.entry, once.stage);
@@ -204,13 +204,19 @@
                     epoch: entry.epochs.get(&upstream).copied().unwrap_or_default(),
                     upstream: upstream.clone(),
                 };
-                let once = self.onces.get_mut(&id).expect("the attempt is open");
+                let once = self
+                    .once_requests
+                    .get_mut(&id)
+                    .expect("the attempt is open");
                 once.ticket = Some(decision.ticket);
                 once.tried.push(upstream);
                 self.once_event(id, Event::Chosen(place));
             }
             Placement::Wait(_) => {
-                let once = self.onces.get_mut(&id).expect("the attempt is open");
+                let once = self
+                    .once_requests
+                    .get_mut(&id)
+                    .expect("the attempt is open");
                 once.tried.clear();
                 self.schedule(
                     PLACEMENT_RETRY_DELAY,
@@ -227,7 +233,10 @@
     }
 
     fn send_once(&mut self, id: u64, held: ClaimRef, place: Place) {
-        let once = self.onces.get_mut(&id).expect("the attempt is open");
+        let once = self
+            .once_requests
+            .get_mut(&id)
+            .expect("the attempt is open");
         once.sends += 1;
         once.sending = true;
         let (node, attempt) = (once.entry, once.sends);
@@ -247,12 +256,15 @@
         }
         self.schedule(
             Self::piece_timeout(),
-            SimEvent::Once(id, self.onces[&id].stage, Timer::Unreachable(place)),
+            SimEvent::Once(id, self.once_requests[&id].stage, Timer::Unreachable(place)),
         );
     }
 
     pub(super) fn once_answered(&mut self, id: u64, attempt: u32, answer: WorkAnswer) {
-        let once = self.onces.get_mut(&id).expect("the attempt is open");
+        let once = self
+            .once_requests
+            .get_mut(&id)
+            .expect("the attempt is open");
         if !once.sending || once.sends != attempt {
             return;
         }
@@ -277,7 +289,7 @@
     }
 
     fn release_once_ticket(&mut self, id: u64, outcome: AttemptOutcome) {
-        let Some(once) = self.onces.get_mut(&id) else {
+        let Some(once) = self.once_requests.get_mut(&id) else {
             return;
         };
         let now = self.hosts[once.entry].clock.local(self.time);
@@ -295,14 +307,21 @@
     }
 
     pub(super) fn finding_received(&mut self, id: u64, stage: u64, finding: Finding) {
-        if self.onces.get(&id).is_some_and(|o| o.stage == stage) {
+        if self
+            .once_requests
+            .get(&id)
+            .is_some_and(|o| o.stage == stage)
+        {
             self.once_event(id, Event::Found(finding));
         }
     }
 
     fn answer_once(&mut self, id: u64, answer: Answer) {
         self.release_once_ticket(id, AttemptOutcome::Cancelled);
-        let once = self.onces.get_mut(&id).expect("the attempt is open");
+        let once = self
+            .once_requests
+            .get_mut(&id)
+            .expect("the attempt is open");
         once.answered = true;
         let (name, content) = (once.name.clone(), once.content.clone());
         match answer {
@@ -315,15 +334,15 @@
         }
     }
 
-    pub(super) fn drop_onces(&mut self, node: NodeId) {
-        let onces: Vec<u64> = self
-            .onces
+    pub(super) fn drop_once_requests(&mut self, node: NodeId) {
+        let once_requests: Vec<u64> = self
+            .once_requests
             .iter()
             .filter(|(_, o)| o.entry == node)
             .map(|(id, _)| *id)
             .collect();
-        for id in onces {
-            let once = self.onces.remove(&id).expect("it was listed");
+        for id in once_requests {
+            let once = self.once_requests.remove(&id).expect("it was listed");
             if !once.answered {
                 self.answer_caller(&once.name, CallerResult::Lost);
             }
--- a/dev/scenario/src/world/replica.rs
+++ b/dev/scenario/src/world/replica.rs
@@ -20,7 +20,7 @@
 use super::{NodeId, SimEvent, World};
 use crate::script::Guard;
 
-/// Small, so that a run creates and removes many segments.
+/// Size of a log segment; small, so that a run creates and removes many segments.
 const SEGMENT_BYTES: u64 = 16 << 10;
 /// Applied entries after which the log is compacted.
 const COMPACTION_ENTRIES: u64 = 64;
--- a/dev/scenario/src/world/setup.rs
+++ b/dev/scenario/src/world/setup.rs
@@ -184,10 +184,10 @@
 
     fn in_flight(&self, node: NodeId) -> usize {
         let streams = self.streams.values().filter(|s| s.entry == node).count();
-        let onces = self.onces.values().filter(|o| o.entry == node);
-        let onces = onces.filter(|o| !o.is_answered()).count();
+        let once_requests = self.once_requests.values().filter(|o| o.entry == node);
+        let once_requests = once_requests.filter(|o| !o.is_answered()).count();
         let runs = self.engines.get(&node).map_or(0, Engine::running);
-        streams + onces + runs
+        streams + once_requests + runs
     }
 
     /// Kills a process; its disk keeps only synced data.
--- a/dev/scenario/src/world/stream.rs
+++ b/dev/scenario/src/world/stream.rs
@@ -108,7 +108,10 @@
         let node = stream.entry;
         let now = self.local(node);
         if now >= stream.meta.deadline {
-            return self.fail(id, Failure::new(ErrorKind::DeadlineExceeded, "late"));
+            return self.fail(
+                id,
+                Failure::new(ErrorKind::DeadlineExceeded, "deadline passed"),
+            );
         }
         if stream.ticket.is_some() {
             return;
@@ -152,7 +155,8 @@
         }
     }
 
-    /// Asks the log whether the content may run, if the script poisons any content.
+    /// Requests a verdict on the content from the log; sends the attempt at once if the script
+    /// poisons no content.
     fn request_trial(&mut self, id: u64) {
         let time = self.time;
         if self.poisons.is_empty() {
@@ -282,7 +286,7 @@
         attempt: u32,
         answer: WorkAnswer,
     ) {
-        if self.onces.contains_key(&id) {
+        if self.once_requests.contains_key(&id) {
             return self.once_answered(id, attempt, answer);
         }
         let Some(stream) = self.streams.get_mut(&id) else {
@@ -442,7 +446,7 @@
             let stream = self.streams.remove(&id).expect("it was listed");
             self.answer_caller(&stream.name, CallerResult::Lost);
         }
-        self.drop_onces(node);
+        self.drop_once_requests(node);
     }
 }
 
