--- a/dev/bench/src/bin/capacity_entry.rs
+++ b/dev/bench/src/bin/capacity_entry.rs
@@ -132,17 +132,17 @@
     println!("\ntracking of cached blocks, {HOLDERS} upstreams, each block on one");
     println!("{:>10} {:>10} {:>12}", "offered", "kept", "B per block");
     for blocks in BLOCKS {
-        let mut kept = 0;
+        let mut tracked = 0;
         let total = memory_per_item(1, || {
             let mut placer = placer(HOLDERS);
             for i in 0..blocks {
                 store(&mut placer, i);
             }
-            kept = placer.tracked_blocks();
+            tracked = placer.tracked_blocks();
             placer
         });
-        let each = total / kept.max(1) as f64;
-        println!("{blocks:>10} {kept:>10} {each:>12.1}");
+        let each = total / tracked.max(1) as f64;
+        println!("{blocks:>10} {tracked:>10} {each:>12.1}");
     }
     let mut placer = placer(HOLDERS);
     let mut next = 0;
--- a/dev/bench/src/bin/capacity_watch.rs
+++ b/dev/bench/src/bin/capacity_watch.rs
@@ -1,4 +1,4 @@
-//! Bytes per second between one control replica and its idle holders.
+//! Bytes per second between one control replica and idle entries or agents.
 //!
 //! Production reporters and followers connect to the port of a production
 //! directory through a relay that counts the bytes of both directions, without
@@ -23,7 +23,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// Numbers of holders of each kind.
+/// Numbers of holders (entries or agents that watch the replica) of each kind.
 const SIZES: [usize; 3] = [10, 40, 160];
 /// Time before counting starts; a replica settles in less.
 const WARM_UP: Duration = Duration::from_secs(6);
--- a/dev/bench/src/bin/even_plan.rs
+++ b/dev/bench/src/bin/even_plan.rs
@@ -11,7 +11,7 @@
 const PLANS: usize = 3;
 /// Target ratio of the most loaded rank to the mean.
 const TARGET_RATIO: f64 = 1.1;
-/// Twice the exponent by which popularity falls with rank.
+/// Twice the exponent of the power law of expert popularity.
 const SKEW: f64 = 1.3;
 
 /// Assigns the experts to the ranks round-robin, as in the first map.
--- a/dev/bench/src/bin/expert_switch.rs
+++ b/dev/bench/src/bin/expert_switch.rs
@@ -1,7 +1,8 @@
 //! Longest stall of a switch of expert maps, under faults and virtual time.
 //!
 //! The switch with granted steps runs against a two-phase switch with a
-//! proposed step and against a barrier that arms, then fires. Each fault is
+//! proposed step and against a barrier switch, in which each rank waits from
+//! arming until it receives the decision. Each fault is
 //! injected at each message of the switch in turn; the stall is the longest
 //! time between two steps that all ranks finished, less the length of a step.
 
--- a/dev/bench/src/fleet/agent.rs
+++ b/dev/bench/src/fleet/agent.rs
@@ -128,7 +128,7 @@
                         self.nodes[engine].gate.first_token(permit, self.now);
                     }
                     let back = delay(self.workload.requests[request].entry, engine);
-                    self.after(back, Event::First(request));
+                    self.after(back, Event::FirstToken(request));
                 }
                 Milestone::Last(request, cached) => self.complete(engine, request, cached),
             }
@@ -150,7 +150,7 @@
             self.send_grants(engine, grants);
         }
         let back = delay(self.workload.requests[request].entry, engine);
-        self.after(back, Event::Last { request, cached });
+        self.after(back, Event::LastToken { request, cached });
     }
 
     pub(super) fn send_grants(&mut self, engine: usize, grants: Vec<Grant>) {
--- a/dev/bench/src/fleet/event.rs
+++ b/dev/bench/src/fleet/event.rs
@@ -57,8 +57,8 @@
         engine: usize,
         version: u64,
     },
-    First(usize),
-    Last {
+    FirstToken(usize),
+    LastToken {
         request: usize,
         cached: u32,
     },
--- a/dev/bench/src/fleet/world.rs
+++ b/dev/bench/src/fleet/world.rs
@@ -159,8 +159,8 @@
             } => self.deliver(engine, request, credit),
             Event::Refused { request, report } => self.refused(request, report),
             Event::Reached { engine, version } => self.reached(engine, version),
-            Event::First(request) => self.first(request),
-            Event::Last { request, cached } => self.last(request, cached),
+            Event::FirstToken(request) => self.first_token(request),
+            Event::LastToken { request, cached } => self.last_token(request, cached),
             Event::Report { engine } => self.report(engine),
             Event::Reported {
                 engine,
@@ -305,7 +305,7 @@
         }
     }
 
-    fn first(&mut self, request: usize) {
+    fn first_token(&mut self, request: usize) {
         let entry = self.workload.requests[request].entry;
         let flight = &mut self.flights[request];
         flight.first = Some(self.now);
@@ -317,7 +317,7 @@
         }
     }
 
-    fn last(&mut self, request: usize, cached: u32) {
+    fn last_token(&mut self, request: usize, cached: u32) {
         let tokens = self.workload.requests[request].tokens;
         self.finish(request, AttemptOutcome::Good, tokens, Some(cached));
         let offered = &self.workload.requests[request];
