--- a/dev/soak/src/caller.rs
+++ b/dev/soak/src/caller.rs
@@ -188,5 +188,5 @@
         return Outcome::Broken;
     }
     let shown: String = answer.body.chars().take(120).collect();
-    Outcome::Wrong(format!("whole {}: {shown:?}", answer.complete))
+    Outcome::Wrong(format!("complete {}: {shown:?}", answer.complete))
 }
--- a/dev/soak/src/cluster.rs
+++ b/dev/soak/src/cluster.rs
@@ -226,11 +226,11 @@
 
     /// Copies the logs to a folder that outlives the soak.
     pub(crate) fn keep_logs(&self) -> PathBuf {
-        let kept = std::env::temp_dir().join(format!("soak-{}", std::process::id()));
-        let copied = fs::create_dir_all(&kept).and_then(|()| {
+        let copy = std::env::temp_dir().join(format!("soak-{}", std::process::id()));
+        let copied = fs::create_dir_all(&copy).and_then(|()| {
             for entry in fs::read_dir(self.folder.path())?.flatten() {
                 if entry.path().is_file() {
-                    fs::copy(entry.path(), kept.join(entry.file_name()))?;
+                    fs::copy(entry.path(), copy.join(entry.file_name()))?;
                 }
             }
             Ok(())
@@ -238,7 +238,7 @@
         if let Err(e) = copied {
             eprintln!("copying the logs failed: {e}");
         }
-        kept
+        copy
     }
 }
 
@@ -261,16 +261,17 @@
             "control" => (1 + number, 2),
             _ => (1 + CONTROLS + number, 4),
         };
-        let own = ip(self.network, host);
+        let address = ip(self.network, host);
         let data = self.folder.join(format!("data{host}"));
         let port = self.port;
         let seeds: Vec<String> = (1..=CONTROLS)
             .map(|c| format!("\"{}:{}\"", ip(self.network, c), port + 2))
             .collect();
         let text = format!(
-            "role: {role}\ninstance: {role}-{number}\nzone: z1\nip: {own}\n\
+            "role: {role}\ninstance: {role}-{number}\nzone: z1\nip: {address}\n\
              ports: [{port}, {}]\nseeds: [{}]\nfirst_start: true\ndata: {}\n\
-             listen: {{callers: \"{own}:{}\", ready: \"{own}:{}\", control: \"{own}:{}\"}}\n\
+             listen: {{callers: \"{address}:{}\", ready: \"{address}:{}\", \
+             control: \"{address}:{}\"}}\n\
              token: token-of-this-soak\nbounds: {{revoke_ms: 5000, grace_s: {GRACE_S}}}\n",
             port + 1,
             seeds.join(", "),
@@ -288,7 +289,7 @@
             restart_settings: text.replace("first_start: true", "first_start: false"),
             data,
         };
-        Ok((member, SocketAddr::new(own, port + offset)))
+        Ok((member, SocketAddr::new(address, port + offset)))
     }
 }
 
--- a/dev/soak/src/guarantee.rs
+++ b/dev/soak/src/guarantee.rs
@@ -11,7 +11,8 @@
     pub apply: u64,
     /// From the acknowledgement of a drain until the upstream receives no more requests.
     pub drain: u64,
-    /// From the sending of a request until its entry has read it; a close may cross it until then.
+    /// From the sending of a request until its entry has read it; until then, the entry may close
+    /// the connection without handling the request.
     pub transit: u64,
     /// Time for which a process must have been undisturbed for its guarantees to hold.
     pub undisturbed: u64,
@@ -121,7 +122,8 @@
 
 /// Finds a call that was interrupted with no unplanned disturbance near it.
 ///
-/// A call that crosses the close of its connection may be interrupted, unless it was forwarded.
+/// A call may be interrupted if its entry closes the connection before reading the request, that
+/// is, within `bounds.transit` and without a run.
 fn interruption(history: &History, bounds: &Bounds, call: &Call) -> Option<Violation> {
     if call.outcome != Outcome::Broken {
         return None;
@@ -180,11 +182,11 @@
             continue;
         };
         for run in runs {
-            let left = history
+            let drain = history
                 .drains
                 .iter()
                 .find(|(name, _)| *name == run.upstream);
-            let Some((name, acked)) = left else {
+            let Some((name, acked)) = drain else {
                 continue;
             };
             let limit = acked + bounds.drain;
--- a/dev/soak/src/upstream.rs
+++ b/dev/soak/src/upstream.rs
@@ -178,7 +178,7 @@
 }
 
 async fn announce(announcer: Announcer, draining: Arc<AtomicBool>) {
-    let (address, born) = (
+    let (address, incarnation) = (
         announcer.address.to_string(),
         announcer.incarnation.to_string(),
     );
@@ -189,7 +189,7 @@
             ("address", &address),
             ("state", if draining_now { "draining" } else { "ready" }),
             ("sequence", &sequence.to_string()),
-            ("born", &born),
+            ("born", &incarnation),
         ]);
         let acknowledged = send_to_control(&announcer.controls, &message).await;
         if draining_now && acknowledged {
