--- a/dev/rig/src/caller.rs
+++ b/dev/rig/src/caller.rs
@@ -2,7 +2,7 @@
 //!
 //! Callers fetch the list of entries, cache it for as long as the answer allows and connect to the
 //! entries directly. A failed attempt is retried at the next address, after the delay that the
-//! answer asks for and under the same idempotency key.
+//! answer requests and under the same idempotency key.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -57,9 +57,9 @@
     Stream,
     /// A completion in one piece.
     Whole,
-    /// A read from the register.
+    /// A read from the stand-in register, a plain service.
     Read,
-    /// A lodging at the register, which may run only once.
+    /// A lodging, that is, a write to the register, which may run only once.
     Lodge,
 }
 
@@ -322,9 +322,9 @@
     if let Some((_, problem)) = text.split_once("event: error\ndata: ") {
         return (parse_error(problem.trim()), None);
     }
-    let whole = text.ends_with("data: [DONE]\n\n") && events == TOKENS as usize;
+    let complete = text.ends_with("data: [DONE]\n\n") && events == TOKENS as usize;
     (
-        if whole {
+        if complete {
             Outcome::Answered
         } else {
             Outcome::Cut
