--- a/peers/instance/src/directory/follow.rs
+++ b/peers/instance/src/directory/follow.rs
@@ -86,13 +86,13 @@
     ///
     /// # Errors
     ///
-    /// Fails with `Fenced` if a higher token was seen before, and with
+    /// Fails with `Fenced` if a higher token was received before, and with
     /// `NotCurrent` before the first answer of a replica.
     pub fn accept(&self, fence: Fence) -> Result<(), ErrorKind> {
         self.shared.lock().fences.accept(fence)
     }
 
-    /// Highest fencing token seen.
+    /// Highest fencing token received; zero before the first.
     pub fn fence(&self) -> Fence {
         self.shared.lock().fences.highest().unwrap_or_default()
     }
@@ -207,7 +207,8 @@
     }
 }
 
-/// Hash of the instance name, by which followers start at different replicas.
+/// Hash of the instance name; selects the first replica, so that followers start at different
+/// ones.
 fn seed(name: &InstanceName) -> usize {
     let mixed = name.bytes().fold(0_u32, |sum, byte| {
         sum.wrapping_mul(31).wrapping_add(u32::from(byte))
--- a/peers/instance/src/directory/mod.rs
+++ b/peers/instance/src/directory/mod.rs
@@ -29,8 +29,8 @@
 
 /// Access of a directory to the replicated state of its replica.
 pub trait Source: Clone + Send + Sync + 'static {
-    /// Completes once the local state includes everything that was committed at
-    /// some time after the call, as confirmed by a quorum.
+    /// Completes once the local state includes everything committed up to some time
+    /// after the call, as confirmed by a quorum.
     ///
     /// Must fail if no quorum answers, and on a replica that is not a member.
     fn confirm(&self) -> impl Future<Output = Result<(), Failure>> + Send;
--- a/peers/instance/src/directory/report.rs
+++ b/peers/instance/src/directory/report.rs
@@ -27,7 +27,7 @@
     pub announcement: watch::Receiver<Option<Announcement>>,
     /// Warm-up state of the upstream.
     pub warmth: watch::Receiver<Warmth>,
-    /// Highest fencing token seen.
+    /// Highest fencing token received.
     pub fence: watch::Receiver<Fence>,
     /// View in force, of which the revision is reported.
     pub view: watch::Receiver<View>,
--- a/peers/instance/src/replica/handle.rs
+++ b/peers/instance/src/replica/handle.rs
@@ -243,8 +243,8 @@
     pub async fn add(&self, name: InstanceName, address: SocketAddr) -> Result<(), Failure> {
         let client = self.client(address);
         let peer = founding::introduce(&client, &name).await?;
-        let own = self.introduction().await?;
-        if peer.cluster.is_some() && peer.cluster != own.cluster {
+        let introduction = self.introduction().await?;
+        if peer.cluster.is_some() && peer.cluster != introduction.cluster {
             return Err(Failure::new(
                 ErrorKind::RevisionConflict,
                 format!("{name} belongs to another log"),
@@ -267,7 +267,7 @@
 
     /// Replicates a command like [`propose`](Self::propose), waiting up to `limit` for a leader.
     ///
-    /// Spares callers the rejection of commands during an election.
+    /// Commands that arrive during an election thus wait instead of being rejected.
     ///
     /// # Errors
     ///
--- a/peers/instance/src/replica/link.rs
+++ b/peers/instance/src/replica/link.rs
@@ -35,15 +35,15 @@
 /// Send queues to the other replicas, by address.
 #[derive(Debug)]
 pub(super) struct Links {
-    own: SocketAddr,
+    own_address: SocketAddr,
     token: Token,
     queues: BTreeMap<SocketAddr, Sender<Envelope>>,
 }
 
 impl Links {
-    pub(super) fn new(own: SocketAddr, token: Token) -> Self {
+    pub(super) fn new(own_address: SocketAddr, token: Token) -> Self {
         Self {
-            own,
+            own_address,
             token,
             queues: BTreeMap::new(),
         }
@@ -51,11 +51,11 @@
 
     /// Queues a message; drops it if the queue is full.
     pub(super) fn send(&mut self, address: SocketAddr, envelope: Envelope) {
-        let (own, token) = (self.own, &self.token);
+        let (own_address, token) = (self.own_address, &self.token);
         let queue = self.queues.entry(address).or_insert_with(|| {
             let (queue, queued) = channel(MAX_QUEUED_MESSAGES);
             let client = PeerClient::with_timeouts(address, token.clone(), TIMEOUTS);
-            actix_rt::spawn(run(own, client, queued));
+            actix_rt::spawn(run(own_address, client, queued));
             queue
         });
         // The log sends lost messages again.
@@ -64,7 +64,7 @@
 }
 
 /// Sends queued messages in batches, with a bounded number of calls in flight.
-async fn run(own: SocketAddr, client: PeerClient, mut queued: Receiver<Envelope>) {
+async fn run(own_address: SocketAddr, client: PeerClient, mut queued: Receiver<Envelope>) {
     let calls = Arc::new(Semaphore::new(MAX_CONCURRENT_CALLS));
     let mut envelopes = Vec::new();
     while queued.recv_many(&mut envelopes, MAX_BATCH_MESSAGES).await > 0 {
@@ -72,7 +72,7 @@
             return;
         };
         let delivery = Delivery {
-            address: own,
+            address: own_address,
             envelopes: std::mem::take(&mut envelopes),
         };
         let client = client.clone();
--- a/peers/instance/tests/it/replica.rs
+++ b/peers/instance/tests/it/replica.rs
@@ -218,8 +218,8 @@
         .add(name, deployment.founders[led].1)
         .await
         .unwrap();
-    // Its own role is decisive: while it catches up, it applies older member lists, in which
-    // it still has its old disk.
+    // Waits for the role instead of the membership: while the replica catches up, it applies
+    // older member lists, in which it still has its old disk.
     until("the rejoin", async || {
         running[led].role().await == RoleKind::Follower
     })
