--- a/app/src/agent/routes.rs
+++ b/app/src/agent/routes.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use futures_util::{StreamExt, stream};
 use pimentotide_instance::work::{
-    CANCEL_PATH, DEMAND_PATH, DemandOrder, Frame, HeldClaim, INQUIRY_PATH, NEWS_PATH,
+    CANCEL_PATH, DEMAND_PATH, DemandOrder, Frame, HeldClaim, INQUIRY_PATH, UPDATE_PATH,
     UpdateRequest, WORK_PATH, WorkOrder,
 };
 use pimentotide_model::{ErrorKind, Failure, RequestId};
@@ -25,7 +25,7 @@
         .route(WORK_PATH, web::post().to(work))
         .route(DEMAND_PATH, web::post().to(demand))
         .route(INQUIRY_PATH, web::post().to(inquiry))
-        .route(NEWS_PATH, web::post().to(upstream_update))
+        .route(UPDATE_PATH, web::post().to(news))
         .route(&format!("{CANCEL_PATH}/{{id}}"), web::post().to(cancel));
 }
 
--- a/peers/instance/src/work/client.rs
+++ b/peers/instance/src/work/client.rs
@@ -20,7 +20,8 @@
 
 use super::{
     CANCEL_PATH, DEMAND_PATH, DemandAnswer, DemandOrder, Frame, FrameDecoder, HeldClaim,
-    INQUIRY_PATH, MAX_FRAME_BYTES, NEWS_PATH, UpdateRequest, UpstreamUpdate, WORK_PATH, WorkOrder,
+    INQUIRY_PATH, MAX_FRAME_BYTES, UPDATE_PATH, UpdateRequest, UpstreamUpdate, WORK_PATH,
+    WorkOrder,
 };
 use crate::Token;
 
@@ -155,7 +156,7 @@
         agent: SocketAddr,
         order: &UpdateRequest,
     ) -> Result<UpstreamUpdate, WorkError> {
-        self.query(agent, NEWS_PATH, order).await
+        self.query(agent, UPDATE_PATH, order).await
     }
 
     /// Requests the outcome of a claim; a claim that never arrived is barred permanently.
--- a/peers/instance/src/work/mod.rs
+++ b/peers/instance/src/work/mod.rs
@@ -25,7 +25,7 @@
 pub const DEMAND_PATH: &str = "/demand";
 
 /// Path to which entries post requests for load and cache events.
-pub const NEWS_PATH: &str = "/news";
+pub const UPDATE_PATH: &str = "/news";
 
 /// Path to which entries post inquiries about claims.
 pub const INQUIRY_PATH: &str = "/inquiry";
