--- a/dev/scenario/src/world/stream.rs
+++ b/dev/scenario/src/world/stream.rs
@@ -108,10 +108,7 @@
         let node = stream.entry;
         let now = self.local(node);
         if now >= stream.meta.deadline {
-            return self.fail(
-                id,
-                Failure::new(ErrorKind::DeadlineExceeded, "deadline passed"),
-            );
+            return self.fail(id, Failure::new(ErrorKind::DeadlineExceeded, "late"));
         }
         if stream.ticket.is_some() {
             return;
