--- a/dev/bench/src/fleet/chooser.rs
+++ b/dev/bench/src/fleet/chooser.rs
@@ -30,7 +30,7 @@
 
 /// Destination of a request.
 pub(super) enum Choice {
-    /// An engine, with the ticket of the placer if it chose.
+    /// An engine, with a ticket if the placer selected it.
     Engine(usize, Option<Ticket>),
     /// The queue of the entry.
     Queue,
--- a/dev/bench/src/fleet/setup.rs
+++ b/dev/bench/src/fleet/setup.rs
@@ -29,7 +29,9 @@
 pub(super) struct Node {
     pub(super) gate: Gate,
     pub(super) engine: EngineModel,
+    /// Number of the latest scheduled engine event; earlier ones are outdated.
     pub(super) version: u64,
+    /// Sequence number of the last cache event.
     pub(super) sequence: u64,
     pub(super) cached_blocks: BTreeMap<u64, ()>,
 }
--- a/dev/scenario/src/world/history.rs
+++ b/dev/scenario/src/world/history.rs
@@ -37,7 +37,9 @@
     runs: BTreeMap<String, Vec<Run>>,
     starts: Vec<Run>,
     digests: BTreeMap<Revision, Fingerprint>,
+    /// Time since which each zone or upstream is out of service or leaving.
     taken_out: BTreeMap<String, Time>,
+    /// Key of each request that may run at most once.
     keys: BTreeMap<String, String>,
 }
 
--- a/dev/scenario/src/world/replica.rs
+++ b/dev/scenario/src/world/replica.rs
@@ -51,9 +51,13 @@
     writes: VecDeque<Write>,
     unsynced: Vec<(Ticket, Envelope)>,
     synced: Ticket,
+    /// Sender and call of each pending proposal.
     callers: BTreeMap<ProposalId, (NodeId, u64)>,
+    /// Reads whose index the consensus node has yet to confirm.
     reads: BTreeMap<ProposalId, Reader>,
+    /// Reads whose index is requested from the leader, by token.
     remote: BTreeMap<u64, Reader>,
+    /// Reads that are answered once their index is applied.
     ready: Vec<(Index, Reader)>,
     ticks: u64,
 }
