--- a/app/src/agent/routes.rs
+++ b/app/src/agent/routes.rs
@@ -25,7 +25,7 @@
         .route(WORK_PATH, web::post().to(work))
         .route(DEMAND_PATH, web::post().to(demand))
         .route(INQUIRY_PATH, web::post().to(inquiry))
-        .route(UPDATE_PATH, web::post().to(news))
+        .route(UPDATE_PATH, web::post().to(upstream_update))
         .route(&format!("{CANCEL_PATH}/{{id}}"), web::post().to(cancel));
 }
 
