--- a/app/src/fleet/agent/compact.rs
+++ b/app/src/fleet/agent/compact.rs
@@ -12,7 +12,7 @@
     T: Serialize,
 {
     let bytes = postcard::to_stdvec(value)
-        .map_err(|e| Failure::new(ErrorKind::Internal, format!("cannot encode a value: {e}")))?;
+        .map_err(|e| Failure::new(ErrorKind::Internal, format!("cannot be encoded: {e}")))?;
     Ok(STANDARD.encode(bytes))
 }
 
@@ -24,6 +24,6 @@
     let malformed = |detail: String| Failure::new(ErrorKind::InvalidRequest, detail);
     let bytes = STANDARD
         .decode(text)
-        .map_err(|e| malformed(format!("malformed base64: {e}")))?;
+        .map_err(|e| malformed(format!("malformed text: {e}")))?;
     postcard::from_bytes(&bytes).map_err(|e| malformed(format!("malformed bytes: {e}")))
 }
--- a/app/src/fleet/agent/engine.rs
+++ b/app/src/fleet/agent/engine.rs
@@ -158,7 +158,7 @@
     where
         F: FnOnce(oneshot::Sender<Result<T, EngineError>>) -> EngineRequest,
     {
-        let stopped = || Failure::new(ErrorKind::Stopping, "the agent is stopping");
+        let stopped = || Failure::new(ErrorKind::Stopping, "the agent stops");
         let (reply, answer) = oneshot::channel();
         self.requests
             .send(make_request(reply))
--- a/app/src/fleet/agent/methods.rs
+++ b/app/src/fleet/agent/methods.rs
@@ -72,7 +72,7 @@
             } => {
                 let applied = last.as_ref().and_then(|last| change.apply(last));
                 let Some(experts) = applied else {
-                    let detail = "the change does not apply to the last placement";
+                    let detail = "the change is from another placement";
                     return Err(Failure::new(ErrorKind::RevisionConflict, detail));
                 };
                 FencedOrder {
--- a/app/src/fleet/control/membership.rs
+++ b/app/src/fleet/control/membership.rs
@@ -86,10 +86,7 @@
     pub(super) async fn admit(&self, joining: JoinRequest) -> Result<(), Failure> {
         let status = self.replica.status().await?;
         if status.log.role != RoleKind::Leader {
-            return Err(Failure::new(
-                ErrorKind::NotLeader,
-                "this replica is not the leader",
-            ));
+            return Err(Failure::new(ErrorKind::NotLeader, "ask the leader"));
         }
         let requester = Some((&joining.name, joining.disk));
         match repair(&self.views(&status), requester, &self.repairs) {
--- a/peers/instance/src/replica/actor.rs
+++ b/peers/instance/src/replica/actor.rs
@@ -192,9 +192,7 @@
         };
         let result = match outcome {
             Outcome::Applied(index, answer) => Ok((index, answer)),
-            Outcome::Replaced => {
-                Err(self.not_leader("an entry of another leader replaced the proposal"))
-            }
+            Outcome::Replaced => Err(self.not_leader("another leader's entry took its place")),
             Outcome::Unknown => Err(Refusal::from(Failure::new(
                 ErrorKind::OutcomeUnknown,
                 "a snapshot covers the position of the proposal",
@@ -522,7 +520,7 @@
     Halt, |replica, request, ctx| {
         let thread = replica.writer.close();
         for pending in std::mem::take(&mut replica.pending).into_values() {
-            let failure = Failure::new(ErrorKind::Stopping, "the replica is stopping");
+            let failure = Failure::new(ErrorKind::Stopping, "the replica stops");
             pending.reply.refuse(Refusal::from(failure.with_ran(Ran::Unknown)));
         }
         if thread.is_some_and(|t| t.join().is_err()) {
--- a/peers/instance/src/replica/handle.rs
+++ b/peers/instance/src/replica/handle.rs
@@ -376,7 +376,7 @@
             Ok(Err(_)) => Err(stopped()),
             Err(_) => Err(Failure::new(
                 ErrorKind::NotCurrent,
-                format!("this replica did not apply position {index} in time"),
+                format!("this replica has not reached {index} in time"),
             )),
         }
     }
